--- a/crates/decide/src/applied.rs
+++ b/crates/decide/src/applied.rs
@@ -1,56 +1,56 @@
-//! What became of changes that a copy of the store was told.
+//! Result of applying changes to a mirror of the store.
 
 use bytes::Bytes;
 
 use crate::changes::Versioned;
-use crate::history::{Position, Stamp};
+use crate::history::{Position, VersionStamp};
 
-/// What a change did to the copy.
+/// Effect of a change on the mirror.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// The object has this content now.
+    /// The object now has this content.
     Set(String, Bytes),
-    /// The object is gone, if it ever was here.
+    /// The object does not exist any more, or never existed here.
     Gone(String),
 }
 
-/// What was told and not taken in as it is.
+/// Deviation from the changes as received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Note {
-    /// A change of the object was left out, since the `known` one is newer.
+    /// A change was ignored because the `known` version is newer.
     LeftOut {
         /// Name of the object.
         name: String,
-        /// Place of the change.
+        /// Position of the ignored change.
         told: Position,
-        /// Place of the one that is known.
+        /// Position of the known version.
         known: Position,
     },
-    /// The restored store lacks the object; it is kept until it is written again, for a while.
+    /// The restored store lacks the object; it is retained for a while, until it is written again.
     Kept(String),
-    /// The restored store has the object though it had been deleted; it is left out for a while.
+    /// The restored store has the object after its deletion; it is withheld for a while.
     Doubted(String),
 }
 
-/// What became of changes.
+/// Result of applying changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Applied {
-    /// What they did to the copy.
+    /// Effects on the mirror.
     pub effects: Vec<Effect>,
-    /// What was not taken in as it was told.
+    /// Deviations from the changes as received.
     pub notes: Vec<Note>,
-    /// Whether the present era confirmed what was known from an earlier one.
+    /// True if the current era confirmed something known from an earlier one.
     pub(crate) confirms_earlier: bool,
 }
 
 impl Applied {
-    /// Whether other instances may go wrong if they don't hear of it.
+    /// Returns true if other instances need to be notified.
     #[must_use]
     pub fn has_news(&self) -> bool {
         self.confirms_earlier || !self.effects.is_empty()
     }
 
-    pub(crate) fn note_left_out(&mut self, object: &Versioned, known: Stamp) {
+    pub(crate) fn record_left_out(&mut self, object: &Versioned, known: VersionStamp) {
         let (name, told) = (object.name.clone(), object.stamp().at);
         self.notes.push(Note::LeftOut { name, told, known: known.at });
     }
--- a/crates/decide/src/changes.rs
+++ b/crates/decide/src/changes.rs
@@ -1,73 +1,73 @@
-//! Changes of the store's objects, as they travel.
+//! Wire format of changes to the store's objects.
 
 use bytes::Bytes;
 
-use crate::history::{Edition, Position, Stamp};
+use crate::history::{Edition, Position, VersionStamp};
 
-/// An object as of its last change.
+/// Object as of its last change.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Versioned {
     /// Its name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Number of its last change.
+    /// Revision of its last change.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// Its content, as the store spells it.
+    /// Its content, encoded as in the store.
     #[prost(bytes = "bytes", tag = "3")]
     pub content: Bytes,
     /// Era of that change.
     #[prost(uint64, tag = "4")]
     pub era: u64,
-    /// How its writer numbered the content.
+    /// The writer's version number of the content.
     #[prost(message, optional, tag = "5")]
     pub edition: Option<Edition>,
-    /// Whether the store lacks it since it was restored.
+    /// True if the restored store lacks the object.
     #[prost(bool, tag = "6")]
     pub is_missing: bool,
 }
 
 impl Versioned {
-    pub(crate) fn stamp(&self) -> Stamp {
+    pub(crate) fn stamp(&self) -> VersionStamp {
         let at = Position { era: self.era, revision: self.revision };
-        Stamp { at, edition: self.edition }
+        VersionStamp { at, edition: self.edition }
     }
 }
 
-/// An object that was deleted.
+/// Tombstone of a deleted object.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Deleted {
     /// Its name.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Number of the deletion, or of a later change.
+    /// Revision of the deletion or of a later change.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
     /// Era of the deletion.
     #[prost(uint64, tag = "3")]
     pub era: u64,
-    /// The last edition that was known of it.
+    /// The last known version number of its content.
     #[prost(message, optional, tag = "4")]
     pub edition: Option<Edition>,
 }
 
 impl Deleted {
-    pub(crate) fn stamp(&self) -> Stamp {
+    pub(crate) fn stamp(&self) -> VersionStamp {
         let at = Position { era: self.era, revision: self.revision };
-        Stamp { at, edition: self.edition }
+        VersionStamp { at, edition: self.edition }
     }
 }
 
 /// Changes of one kind of objects.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Changes {
-    /// Change up to which this is complete.
+    /// Revision up to which the changes are complete.
     #[prost(uint64, tag = "1")]
     pub as_of: u64,
-    /// Whether these are all objects, so that others are deleted.
+    /// True if `objects` holds all objects, so that any other is deleted.
     #[prost(bool, tag = "2")]
     pub is_whole: bool,
-    /// Objects as they are.
+    /// Current objects.
     #[prost(message, repeated, tag = "3")]
     pub objects: Vec<Versioned>,
     /// Deleted objects.
@@ -79,7 +79,7 @@
 }
 
 impl Changes {
-    /// An answer of the store, in the era in which it was made.
+    /// Assigns the era in which the store made this answer.
     #[must_use]
     pub fn in_era(mut self, era: u64) -> Self {
         self.era = era;
@@ -88,7 +88,7 @@
         self
     }
 
-    /// Place up to which this is complete.
+    /// Returns the position up to which the changes are complete.
     #[must_use]
     pub fn position(&self) -> Position {
         Position { era: self.era, revision: self.as_of }
--- a/crates/decide/src/history.rs
+++ b/crates/decide/src/history.rs
@@ -1,34 +1,35 @@
-//! The order of what the store says.
+//! Ordering of the store's changes across restores from a backup.
 //!
-//! The store numbers its changes by one counter. When it is restored from a copy, the counter goes
-//! back and its numbers are given out again for other changes; the store then counts one era more.
-//! So a change has its place by era and revision. What a copy brings back may be older than what
-//! is known, at whatever place: contents that their writers number are ordered by that first.
+//! The store numbers its changes by one counter, the revision. When it is restored from a backup,
+//! the counter goes back and the same numbers are assigned again to other changes; the store then
+//! increments its era. A change is therefore ordered by era and revision. An object that a restore
+//! brings back may be older than the known one although its era is later. Contents that their
+//! writers number are therefore ordered by that number first.
 
-/// A place in the store's history.
+/// Position of a change in the store's history.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Message)]
 pub struct Position {
-    /// How often the store had been restored.
+    /// Number of restores before the change.
     #[prost(uint64, tag = "1")]
     pub era: u64,
-    /// Number of the change within the era.
+    /// Revision of the change within the era.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
 }
 
-/// Bits of [`Position::to_number`] that hold the revision.
+/// Number of low bits of [`Position::to_number`] that hold the revision.
 const REVISION_BITS: u32 = 40;
 
 impl Position {
-    /// Both in one number of the same order, for where there is room for one.
+    /// Packs the position into one number with the same order.
     ///
-    /// A store that tells no era has its revisions for numbers.
+    /// For a store that reports no era, this is the revision.
     #[must_use]
     pub fn to_number(self) -> u64 {
         self.era << REVISION_BITS | self.revision & ((1 << REVISION_BITS) - 1)
     }
 
-    /// The position that such a number stands for.
+    /// Unpacks a position from its number.
     #[must_use]
     pub fn from_number(number: u64) -> Self {
         let revision = number & ((1 << REVISION_BITS) - 1);
@@ -48,35 +49,35 @@
 impl std::str::FromStr for Position {
     type Err = std::num::ParseIntError;
 
-    /// Reads a revision, or an era and a revision, as they are shown.
+    /// Parses `REVISION` or `ERA.REVISION`, the formats that `Display` writes.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let (era, revision) = text.split_once('.').unwrap_or(("0", text));
         Ok(Self { era: era.parse()?, revision: revision.parse()? })
     }
 }
 
-/// Number that a writer gives to what it writes under a name, greater each time.
+/// Version number that a writer assigns to the content of an object, increasing with each write.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, prost::Message)]
 pub struct Edition {
-    /// Unix time of the writer's start in milliseconds; 0 where numbers go on over its starts.
+    /// Unix time of the writer's start in milliseconds; 0 if numbers continue across its restarts.
     #[prost(uint64, tag = "1")]
     pub born_ms: u64,
-    /// Number since then.
+    /// Number of the write since that start.
     #[prost(uint64, tag = "2")]
     pub number: u64,
 }
 
-/// What orders the changes of one object.
+/// Version of an object, by which its changes are ordered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Stamp {
-    /// Where the store made the change.
+pub struct VersionStamp {
+    /// Position of the change in the store's history.
     pub at: Position,
-    /// How the writer numbered the content; `None` where it does not, or it can't be read.
+    /// The writer's version number; `None` if the writer assigns none or it can't be read.
     pub edition: Option<Edition>,
 }
 
-impl Stamp {
-    /// Whether a content with this stamp replaces the `known` one.
+impl VersionStamp {
+    /// Returns true if content with this stamp replaces the `known` one.
     #[must_use]
     pub fn replaces(&self, known: &Self) -> bool {
         match (self.edition, known.edition) {
@@ -85,55 +86,55 @@
         }
     }
 
-    /// Whether a copy brings this content back though it had been deleted.
+    /// Returns true if a restore brought this content back after its deletion.
     #[must_use]
-    pub fn is_back_after(&self, deletion: &Self) -> bool {
+    pub fn is_resurrected_after(&self, deletion: &Self) -> bool {
         let is_written_before = self.edition.is_some() && self.edition <= deletion.edition;
         self.at.era > deletion.at.era && is_written_before
     }
 }
 
-/// What the era of an answer says.
+/// Result of comparing the era of an answer with the known one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Told {
-    /// The store is as it was.
+    /// The era is unchanged.
     Same,
     /// The store was restored since the last answer.
     Restored,
-    /// The answer was made before a restore that is known already.
+    /// The answer precedes a restore that is already known.
     Late,
-    /// The store's era went back, which it never should: taken for the present one.
+    /// The era went back, which it never should; the answer is treated as one of the current era.
     Back,
 }
 
-/// The store's era, as its answers and other instances say.
+/// The store's current era, learnt from its answers and from other instances.
 #[derive(Debug, Clone, Default)]
 pub struct Eras {
     current: u64,
 }
 
 impl Eras {
-    /// The latest era that was heard of; 0 while the store tells none.
+    /// Returns the latest known era; 0 while the store reports none.
     #[must_use]
     pub fn current(&self) -> u64 {
         self.current
     }
 
-    /// Hears of an era from another instance.
+    /// Records an era reported by another instance.
     pub fn hear(&mut self, era: u64) {
         self.current = self.current.max(era);
     }
 
-    /// Takes in an answer of the store that names `era`, if it names one that can be read.
+    /// Records the `era` of a store answer; `None` if the answer has none or it can't be read.
     ///
-    /// `asked_in` is the era that was known when the question went out. A question that allows
-    /// a stale answer may get one of an era before at any time.
-    pub fn take(&mut self, era: Option<u64>, asked_in: u64, may_be_stale: bool) -> Told {
+    /// `request_era` is the era known when the request was sent. A request that allows stale reads
+    /// may get an answer of an earlier era at any time.
+    pub fn take(&mut self, era: Option<u64>, request_era: u64, may_be_stale: bool) -> Told {
         let Some(era) = era.filter(|era| *era != self.current) else { return Told::Same };
         if era > self.current {
             self.current = era;
             return Told::Restored;
         }
-        if may_be_stale || asked_in < self.current { Told::Late } else { Told::Back }
+        if may_be_stale || request_era < self.current { Told::Late } else { Told::Back }
     }
 }
--- a/crates/decide/tests/beliefs.rs
+++ b/crates/decide/tests/beliefs.rs
@@ -1,4 +1,4 @@
-//! The copy of the store and the list of replicas, under outages and stale answers.
+//! The mirror and the replica directory under outages and stale answers.
 
 use std::sync::Arc;
 
@@ -14,12 +14,12 @@
     Versioned { name: name.to_owned(), revision, content, ..Versioned::default() }
 }
 
-fn whole(as_of: u64, objects: &[(&str, u64)]) -> Changes {
+fn full_list(as_of: u64, objects: &[(&str, u64)]) -> Changes {
     let objects = objects.iter().map(|(name, revision)| object(name, *revision)).collect();
     Changes { as_of, is_whole: true, objects, ..Changes::default() }
 }
 
-fn empty() -> Mirror {
+fn empty_mirror() -> Mirror {
     Mirror::new(Settling { retention: Retention::ForMs(2_000), doubt_ms: 4_000 })
 }
 
@@ -31,14 +31,12 @@
     mirror.since(at(0)).objects.into_iter().map(|o| format!("{}@{}", o.name, o.revision)).collect()
 }
 
-/// Symptom: a version that was replaced came back.
-/// Sequence: a poll was answered from a copy that was seconds old, after the watch had
-/// brought a newer version.
-/// Cause it guards against: taking the last answer for the newest.
+/// Guards against the return of a replaced version. A poll was answered from a stale read, seconds
+/// after the watch had delivered a newer version, and its answer was regarded as the latest.
 #[test]
-fn a_stale_list_neither_lowers_nor_deletes_nor_brings_back() {
-    let mut mirror = empty();
-    mirror.apply(&whole(10, &[("a", 3), ("b", 4)]), 0);
+fn a_stale_list_changes_nothing() {
+    let mut mirror = empty_mirror();
+    mirror.apply(&full_list(10, &[("a", 3), ("b", 4)]), 0);
     let newer = Changes {
         as_of: 20,
         objects: vec![object("a", 15), object("c", 16)],
@@ -46,17 +44,17 @@
         ..Changes::default()
     };
     mirror.apply(&newer, 0);
-    let effects = mirror.apply(&whole(10, &[("a", 3), ("b", 4)]), 0).effects;
+    let effects = mirror.apply(&full_list(10, &[("a", 3), ("b", 4)]), 0).effects;
     assert_eq!(effects, Vec::<Effect>::new());
     assert_eq!(names(&mirror), ["a@15", "c@16"]);
 }
 
 #[test]
-fn what_another_instance_lacks_makes_it_the_same() {
-    let mut first = empty();
-    let mut second = empty();
+fn changes_since_a_position_synchronize_another_instance() {
+    let mut first = empty_mirror();
+    let mut second = empty_mirror();
     for mirror in [&mut first, &mut second] {
-        mirror.apply(&whole(10, &[("a", 3), ("b", 4)]), 0);
+        mirror.apply(&full_list(10, &[("a", 3), ("b", 4)]), 0);
     }
     first.apply(
         &Changes {
@@ -72,23 +70,22 @@
     second.apply(&changes, 0);
     assert_eq!(names(&second), names(&first));
     assert_eq!(second.position(), first.position());
-    // One that has just started gets everything.
-    let mut third = empty();
+    // An instance that has just started gets everything.
+    let mut third = empty_mirror();
     third.apply(&first.since(at(0)), 0);
     assert!(third.is_filled());
     assert_eq!(names(&third), names(&first));
 }
 
-/// Symptom: an instance asked another for changes again and again.
-/// Sequence: both had the same objects, read at different moments; the later reader told
-/// the higher number, and the answer had nothing new in it.
-/// Cause: an answer without an effect left the own number as it was.
+/// Guards against repeated requests for the same changes. Two instances had the same objects, read
+/// at different times; the later one announced a higher revision, and its answer, which changed
+/// nothing, did not advance the position of the other one.
 #[test]
-fn an_answer_without_an_effect_still_counts_as_seen() {
-    let mut first = empty();
-    first.apply(&whole(30, &[("a", 3)]), 0);
-    let mut second = empty();
-    second.apply(&whole(20, &[("a", 3)]), 0);
+fn an_answer_without_an_effect_advances_the_position() {
+    let mut first = empty_mirror();
+    first.apply(&full_list(30, &[("a", 3)]), 0);
+    let mut second = empty_mirror();
+    second.apply(&full_list(20, &[("a", 3)]), 0);
     assert!(second.apply(&first.since(second.position()), 0).effects.is_empty());
     assert_eq!(second.position(), first.position());
 }
@@ -111,12 +108,11 @@
     directory.entries().map(|e| Arc::clone(&e.id)).collect()
 }
 
-/// Symptom: whole services were empty just when the store had come back.
-/// Sequence: entries could not be renewed during the outage and lapsed; the first list
-/// after it did not have them; they were written again two seconds later.
-/// Cause: what is missing was taken for gone.
+/// Guards against services without replicas just after an outage of the store. Entries could not be
+/// renewed during the outage and lapsed; the first list after it lacked them, and they were written
+/// again two seconds later.
 #[test]
-fn entries_that_lapsed_in_an_outage_are_kept_until_they_must_be_back() {
+fn entries_that_lapsed_in_an_outage_are_retained_for_a_grace_period() {
     let mut directory = Directory::default();
     directory.replace(vec![entry("lives", false), entry("dead", false), entry("left", true)], 0);
     directory.store_is_back(10_000);
@@ -129,7 +125,7 @@
 }
 
 #[test]
-fn without_an_outage_what_is_missing_is_gone() {
+fn missing_entries_are_removed_without_an_outage() {
     let mut directory = Directory::default();
     directory.replace(vec![entry("a", false), entry("b", false)], 0);
     assert!(directory.apply(EntryChange::Gone("a".into()), 5_000));
@@ -137,18 +133,17 @@
     assert!(ids(&directory).is_empty());
 }
 
-/// A report of the replica `a`, started at `born_ms`.
+/// Returns a report of the replica `a`, started at `born_ms`.
 fn report(born_ms: u64, number: u64, is_draining: bool) -> ReplicaEntry {
     let id = format!("a@{born_ms}").into();
     ReplicaEntry { id, report: Edition { born_ms, number }, ..entry("a", is_draining) }
 }
 
-/// Symptom: requests went to a replica that had ended, while its successor idled.
-/// Sequence: a replica crashed just after its last report was given up for lost; it started
-/// again under its id and reported; then the store carried the lost write out.
-/// Cause: the entry that was written last was taken for the newest report.
+/// Guards against requests to a replica that has ended while its successor is idle. The replica
+/// crashed just after it gave up its last report for lost, and started again under the same name;
+/// then the store applied the lost report, which overwrote the newer one.
 #[test]
-fn a_late_report_of_an_earlier_start_changes_nothing() {
+fn a_late_report_of_an_earlier_run_changes_nothing() {
     let mut directory = Directory::default();
     directory.apply(EntryChange::Set(report(1_000, 50, false)), 0);
     assert!(directory.apply(EntryChange::Set(report(9_000, 1, false)), 1));
@@ -158,36 +153,34 @@
     assert!(directory.entries().all(|e| !e.is_draining));
 }
 
-/// Symptom: a leaving replica got new work.
-/// Sequence: it reported that it leaves; an earlier report was carried out after that one.
-/// Cause: as above, within one start.
+/// Guards against new requests to a draining replica. It reported that it drains, and an earlier
+/// report was applied after that one.
 #[test]
-fn reports_of_one_start_are_ordered_by_their_numbers() {
+fn reports_of_one_run_are_ordered_by_number() {
     let mut directory = Directory::default();
     directory.apply(EntryChange::Set(report(1_000, 7, true)), 0);
     assert!(!directory.apply(EntryChange::Set(report(1_000, 6, false)), 1));
     assert!(directory.entries().all(|e| e.is_draining));
-    // A number alone changes nothing for anybody.
+    // A new report number alone is not a change.
     assert!(!directory.apply(EntryChange::Set(report(1_000, 8, true)), 2));
     assert!(!directory.apply(EntryChange::Set(report(1_000, 7, false)), 3));
 }
 
-/// Symptom: an instance sent requests to a replica three seconds after it had left.
-/// Sequence: the replica started and left within a quarter of a second. One instance read the store
-/// in between; those who watch it saw both changes at once, and the others hear from them.
-/// Cause: the deletion of an object that a copy never had was not remembered, so that nobody told
-/// the one instance. Proof: its line on the entry, and none on the end of it, until its next poll.
+/// Guards against requests to a replica three seconds after it left. The replica started and left
+/// within a quarter of a second. One instance read the store in between; the watchers saw both
+/// changes at once. They must keep the tombstone of an object they never had: otherwise the one
+/// instance does not learn of the deletion until its next poll.
 #[test]
-fn an_object_that_came_and_went_between_two_looks_is_told_as_deleted() {
-    let (mut watching, mut polling) = (empty(), empty());
+fn an_object_created_and_deleted_between_two_reads_gets_a_tombstone() {
+    let (mut watching, mut polling) = (empty_mirror(), empty_mirror());
     for mirror in [&mut watching, &mut polling] {
-        mirror.apply(&whole(10, &[("a", 3)]), 0);
+        mirror.apply(&full_list(10, &[("a", 3)]), 0);
     }
     let object = Versioned { name: "b".to_owned(), revision: 12, ..Versioned::default() };
     polling.apply(&Changes { as_of: 12, objects: vec![object], ..Changes::default() }, 0);
     let deleted = vec![Deleted { name: "b".to_owned(), revision: 14, ..Deleted::default() }];
     let both = Changes { as_of: 14, deleted, ..Changes::default() };
-    // Also news where it changes nothing here: others must hear that there is something to fetch.
+    // It counts as an effect although nothing changes here, so that other instances are notified.
     assert_eq!(watching.apply(&both, 0).effects, [Effect::Gone("b".to_owned())]);
     assert_eq!(watching.apply(&both, 0).effects, []);
     assert_eq!(polling.apply(&watching.since(at(12)), 0).effects, [Effect::Gone("b".to_owned())]);
--- a/crates/decide/tests/history.rs
+++ b/crates/decide/tests/history.rs
@@ -1,4 +1,4 @@
-//! The order of changes and the copy of the store, where the store is restored from a copy.
+//! Ordering of changes and the mirror across restores of the store from a backup.
 
 mod copies;
 
@@ -6,7 +6,7 @@
 use eelgrasspier_decide::history::{Eras, Position, Told};
 use eelgrasspier_decide::mirror::{Changes, Deleted, Effect, Mirror, Note, Retention, Versioned};
 
-use copies::{DOUBT_MS, KEPT_MS, copy, object, of_replicas, whole};
+use copies::{RETENTION_MS, WITHHOLD_MS, full_list, new_mirror, object, replica_mirror};
 
 fn events((era, as_of): (u64, u64), objects: Vec<Versioned>) -> Changes {
     Changes { as_of, objects, ..Changes::default() }.in_era(era)
@@ -17,24 +17,24 @@
     Changes { as_of, deleted: vec![deleted], ..Changes::default() }.in_era(era)
 }
 
-/// Contents in use: an object that is told beside its deletion is left out.
+/// Returns the contents in use, without objects that are sent together with a tombstone.
 fn contents(mirror: &Mirror) -> Vec<String> {
     let all = mirror.since(Position::default());
-    let is_used = |o: &&Versioned| all.deleted.iter().all(|deleted| deleted.name != o.name);
-    let used = all.objects.iter().filter(is_used);
-    used.map(|o| String::from_utf8_lossy(&o.content).into_owned()).collect()
+    let is_in_use = |o: &&Versioned| all.deleted.iter().all(|deleted| deleted.name != o.name);
+    let in_use = all.objects.iter().filter(is_in_use);
+    in_use.map(|o| String::from_utf8_lossy(&o.content).into_owned()).collect()
 }
 
 fn set(name: &str, edition: u64) -> Effect {
     Effect::Set(name.to_owned(), Bytes::from(format!("{name}:{edition}")))
 }
 
-/// Guards against a change that is ignored, since its revision was given out before.
+/// Guards against ignoring a change because its revision was assigned before the restore.
 #[test]
-fn a_change_of_a_later_era_is_newer_at_whatever_revision() {
-    let mut mirror = copy(Retention::Always);
-    mirror.apply(&whole((7, 80), vec![object("main", 79, 79)]), 0);
-    mirror.apply(&whole((8, 70), vec![object("main", 68, 79)]), 0);
+fn a_change_of_a_later_era_is_newer_at_any_revision() {
+    let mut mirror = new_mirror(Retention::Always);
+    mirror.apply(&full_list((7, 80), vec![object("main", 79, 79)]), 0);
+    mirror.apply(&full_list((8, 70), vec![object("main", 68, 79)]), 0);
     assert_eq!(
         mirror.apply(&events((8, 72), vec![object("main", 72, 83)]), 0).effects,
         [set("main", 83)]
@@ -42,218 +42,216 @@
     assert_eq!(mirror.position(), Position { era: 8, revision: 72 });
 }
 
-/// Guards against an older version that a copy brings back.
+/// Guards against a restore that brings back an older version.
 #[test]
-fn a_later_era_does_not_bring_an_older_edition_back() {
-    let mut mirror = copy(Retention::Always);
-    mirror.apply(&whole((7, 80), vec![object("main", 79, 79)]), 0);
-    let applied = mirror.apply(&whole((8, 70), vec![object("main", 60, 77)]), 0);
+fn a_later_era_does_not_revert_to_an_older_edition() {
+    let mut mirror = new_mirror(Retention::Always);
+    mirror.apply(&full_list((7, 80), vec![object("main", 79, 79)]), 0);
+    let applied = mirror.apply(&full_list((8, 70), vec![object("main", 60, 77)]), 0);
     assert_eq!(applied.effects, []);
     assert!(matches!(&applied.notes[..], [Note::LeftOut { .. }]), "{applied:?}");
     mirror.expire(60_000);
     assert_eq!(contents(&mirror), ["main:79"]);
-    // One that read the restored store alone gets it, also long after.
-    let mut other = copy(Retention::Always);
-    other.apply(&whole((8, 70), vec![object("main", 60, 77)]), 0);
+    // An instance that read only the restored store gets the newer version, even long afterwards.
+    let mut other = new_mirror(Retention::Always);
+    other.apply(&full_list((8, 70), vec![object("main", 60, 77)]), 0);
     other.apply(&mirror.since(other.position()), 60_000);
     assert_eq!(contents(&other), ["main:79"]);
 }
 
-/// Guards against the loss of a version that only an instance knows which has not heard of the
-/// restore.
+/// Guards against losing a version that is known only to an instance unaware of the restore.
 #[test]
-fn the_newest_version_is_taken_from_one_of_an_earlier_era() {
-    let mut cut_off = copy(Retention::Always);
-    cut_off.apply(&whole((7, 80), vec![object("main", 79, 79)]), 0);
-    let mut started = copy(Retention::Always);
-    started.apply(&whole((8, 70), vec![object("main", 60, 77)]), 0);
-    let applied = started.apply(&cut_off.since(started.position()), 0);
+fn the_newest_version_is_accepted_from_an_instance_of_an_earlier_era() {
+    let mut unaware = new_mirror(Retention::Always);
+    unaware.apply(&full_list((7, 80), vec![object("main", 79, 79)]), 0);
+    let mut started = new_mirror(Retention::Always);
+    started.apply(&full_list((8, 70), vec![object("main", 60, 77)]), 0);
+    let applied = started.apply(&unaware.since(started.position()), 0);
     assert_eq!(applied.effects, [set("main", 79)]);
     assert_eq!(started.position().era, 8);
-    // Entries of replicas are not: the store knows better.
-    let mut cut_off = of_replicas();
-    cut_off.apply(&whole((7, 80), vec![object("a", 79, 9)]), 0);
-    assert_eq!(cut_off.since(started.position()).objects, []);
+    // Replica entries are not taken over, since the store is authoritative for them.
+    let mut unaware = replica_mirror();
+    unaware.apply(&full_list((7, 80), vec![object("a", 79, 9)]), 0);
+    assert_eq!(unaware.since(started.position()).objects, []);
 }
 
-/// Guards against changes that are missed since the revisions have passed a watch's again.
+/// Guards against missing changes once the restored store's revisions exceed those of a watch.
 #[test]
-fn changes_from_a_place_in_an_earlier_era_are_not_taken() {
-    let mut mirror = of_replicas();
-    mirror.apply(&whole((7, 80), vec![object("a", 79, 1)]), 0);
+fn changes_since_a_position_of_an_earlier_era_are_ignored() {
+    let mut mirror = replica_mirror();
+    mirror.apply(&full_list((7, 80), vec![object("a", 79, 1)]), 0);
     assert_eq!(mirror.apply(&events((8, 90), vec![object("b", 85, 1)]), 0).effects, []);
     assert_eq!(mirror.position(), Position { era: 7, revision: 80 });
 }
 
-/// Guards against an answer of the era before that arrives late.
+/// Guards against a late answer from the previous era.
 #[test]
 fn a_late_answer_of_an_earlier_era_changes_nothing() {
-    let mut mirror = of_replicas();
-    mirror.apply(&whole((7, 80), vec![object("a", 79, 5)]), 0);
-    mirror.apply(&whole((8, 70), vec![object("a", 60, 5)]), 0);
+    let mut mirror = replica_mirror();
+    mirror.apply(&full_list((7, 80), vec![object("a", 79, 5)]), 0);
+    mirror.apply(&full_list((8, 70), vec![object("a", 60, 5)]), 0);
     mirror.apply(&deletion((8, 71), "a"), 0);
     assert_eq!(mirror.apply(&events((7, 95), vec![object("a", 95, 6)]), 0).effects, []);
-    assert_eq!(mirror.apply(&whole((7, 95), vec![object("a", 95, 6)]), 0).effects, []);
+    assert_eq!(mirror.apply(&full_list((7, 95), vec![object("a", 95, 6)]), 0).effects, []);
     assert_eq!(contents(&mirror), Vec::<String>::new());
 }
 
-/// Guards against live replicas that are dropped, since the copy lacks them, and dead ones that
-/// are kept.
+/// Guards against dropping live replicas that the backup lacks, and against retaining dead ones.
 #[test]
-fn what_the_copy_lacks_is_kept_until_it_must_be_written_again() {
-    let mut mirror = of_replicas();
-    let both = vec![object("dead", 78, 1), object("lives", 79, 1)];
-    mirror.apply(&whole((7, 80), both), 0);
-    let kept = ["dead", "lives"].map(|name| Note::Kept(name.to_owned()));
-    assert_eq!(mirror.apply(&whole((8, 70), Vec::new()), 10_000).notes, kept);
+fn objects_missing_from_the_backup_are_retained_until_rewritten() {
+    let mut mirror = replica_mirror();
+    let entries = vec![object("dead", 78, 1), object("lives", 79, 1)];
+    mirror.apply(&full_list((7, 80), entries), 0);
+    let retained = ["dead", "lives"].map(|name| Note::Kept(name.to_owned()));
+    assert_eq!(mirror.apply(&full_list((8, 70), Vec::new()), 10_000).notes, retained);
     assert_eq!(mirror.unsettled(), 2);
     assert_eq!(
         mirror.apply(&events((8, 71), vec![object("lives", 71, 2)]), 11_000).effects,
         [set("lives", 2)]
     );
-    assert_eq!(mirror.expire(10_000 + KEPT_MS - 1).effects, []);
-    assert_eq!(mirror.expire(10_000 + KEPT_MS).effects, [Effect::Gone("dead".to_owned())]);
+    assert_eq!(mirror.expire(10_000 + RETENTION_MS - 1).effects, []);
+    assert_eq!(mirror.expire(10_000 + RETENTION_MS).effects, [Effect::Gone("dead".to_owned())]);
     assert_eq!(contents(&mirror), ["lives:2"]);
     assert_eq!(mirror.unsettled(), 0);
 }
 
-/// Guards against the loss of a live replica whose entry in the copy is older than the known one
-/// and says the same, so that the store tells of no change.
+/// Guards against dropping a live replica with an older, equivalent entry in the backup. The store
+/// reports no change of it.
 #[test]
-fn what_the_copy_has_in_an_older_edition_is_not_dropped() {
-    let mut mirror = of_replicas();
-    mirror.apply(&whole((7, 80), vec![object("a", 79, 5)]), 0);
-    mirror.apply(&whole((8, 70), vec![object("a", 60, 4)]), 0);
-    assert_eq!(mirror.expire(KEPT_MS).effects, []);
-    assert_eq!(mirror.expire(DOUBT_MS).effects, []);
+fn objects_with_an_older_edition_in_the_backup_are_not_dropped() {
+    let mut mirror = replica_mirror();
+    mirror.apply(&full_list((7, 80), vec![object("a", 79, 5)]), 0);
+    mirror.apply(&full_list((8, 70), vec![object("a", 60, 4)]), 0);
+    assert_eq!(mirror.expire(RETENTION_MS).effects, []);
+    assert_eq!(mirror.expire(WITHHOLD_MS).effects, []);
     assert_eq!(contents(&mirror), ["a:5"]);
-    // It was deleted after all, in the new era.
+    // It is deleted in the new era after all.
     assert_eq!(
         mirror.apply(&deletion((8, 90), "a"), 9_000).effects,
         [Effect::Gone("a".to_owned())]
     );
 }
 
-/// Guards against requests to a replica that has left and is back in the copy.
+/// Guards against requests to a replica that has left and is back in the restored store.
 #[test]
-fn what_is_back_though_it_was_deleted_is_left_out_until_it_is_written_again() {
-    let mut mirror = of_replicas();
-    mirror.apply(&whole((7, 80), vec![object("left", 40, 3), object("lives", 41, 3)]), 0);
+fn resurrected_objects_are_withheld_until_rewritten() {
+    let mut mirror = replica_mirror();
+    mirror.apply(&full_list((7, 80), vec![object("left", 40, 3), object("lives", 41, 3)]), 0);
     mirror.apply(&deletion((7, 85), "left"), 0);
     mirror.apply(&deletion((7, 86), "lives"), 0);
-    let back = vec![object("left", 40, 3), object("lives", 41, 3)];
-    let doubted = ["left", "lives"].map(|name| Note::Doubted(name.to_owned()));
-    assert_eq!(mirror.apply(&whole((8, 70), back.clone()), 0).notes, doubted);
+    let restored = vec![object("left", 40, 3), object("lives", 41, 3)];
+    let withheld = ["left", "lives"].map(|name| Note::Doubted(name.to_owned()));
+    assert_eq!(mirror.apply(&full_list((8, 70), restored.clone()), 0).notes, withheld);
     assert_eq!(
         mirror.apply(&events((8, 71), vec![object("lives", 71, 4)]), 0).effects,
         [set("lives", 4)]
     );
-    // One that has read the restored store alone hears of it.
-    let mut started = of_replicas();
-    started.apply(&whole((8, 70), back), 0);
+    // An instance that read only the restored store learns that the object is withheld.
+    let mut started = replica_mirror();
+    started.apply(&full_list((8, 70), restored), 0);
     started.apply(&mirror.since(started.position()), 0);
     assert_eq!(contents(&started), ["lives:4"]);
-    // The store lets it lapse, since nobody renews it.
+    // The store expires the entry, since it is not renewed.
     assert_eq!(mirror.apply(&deletion((8, 75), "left"), 3_000).effects, []);
-    assert_eq!(mirror.expire(DOUBT_MS).effects, []);
+    assert_eq!(mirror.expire(WITHHOLD_MS).effects, []);
     assert_eq!(contents(&mirror), ["lives:4"]);
 }
 
-/// Guards against a live replica that others drop, since what it wrote again says the same as
-/// before, and against one that they use though its entry has lapsed.
+/// Guards against other instances dropping a live replica that wrote the same content again. They
+/// must not use one whose entry has lapsed, either.
 #[test]
-fn what_the_new_era_confirms_is_told_to_others() {
-    let mut mirror = of_replicas();
-    let known = vec![object("left", 40, 3), object("lives", 79, 1)];
-    mirror.apply(&whole((7, 80), known), 0);
+fn confirmations_in_the_new_era_are_news() {
+    let mut mirror = replica_mirror();
+    let existing = vec![object("left", 40, 3), object("lives", 79, 1)];
+    mirror.apply(&full_list((7, 80), existing), 0);
     mirror.apply(&deletion((7, 85), "left"), 0);
-    mirror.apply(&whole((8, 70), vec![object("left", 40, 3)]), 0);
+    mirror.apply(&full_list((8, 70), vec![object("left", 40, 3)]), 0);
     let written = mirror.apply(&events((8, 71), vec![object("lives", 71, 1)]), 0);
     assert_eq!((written.effects.len(), written.has_news()), (0, true));
     let lapsed = mirror.apply(&deletion((8, 72), "left"), 0);
     assert_eq!((lapsed.effects.len(), lapsed.has_news()), (0, true));
-    // What is written once more in the same era says nothing new.
+    // Writing the object once more in the same era is not news.
     let written = mirror.apply(&events((8, 73), vec![object("lives", 73, 1)]), 0);
     assert!(!written.has_news());
 }
 
-/// Guards against instances of which some use a replica for good and some never.
+/// Guards against instances that permanently disagree on the use of a replica.
 #[test]
-fn what_is_left_out_is_left_out_where_another_tells_of_the_restore() {
-    let mut first = of_replicas();
-    first.apply(&whole((7, 80), vec![object("a", 40, 3)]), 0);
+fn withheld_objects_are_withheld_by_peers_that_learn_of_the_restore() {
+    let mut first = replica_mirror();
+    first.apply(&full_list((7, 80), vec![object("a", 40, 3)]), 0);
     first.apply(&deletion((7, 85), "a"), 0);
-    let (mut second, mut started) = (first.clone(), of_replicas());
-    first.apply(&whole((8, 70), vec![object("a", 40, 3)]), 0);
+    let (mut second, mut started) = (first.clone(), replica_mirror());
+    first.apply(&full_list((8, 70), vec![object("a", 40, 3)]), 0);
     for mirror in [&mut second, &mut started] {
-        let told = mirror.apply(&first.since(mirror.position()), 0);
-        assert!(!told.effects.contains(&set("a", 3)), "{told:?}");
+        let applied = mirror.apply(&first.since(mirror.position()), 0);
+        assert!(!applied.effects.contains(&set("a", 3)), "{applied:?}");
         assert_eq!(contents(mirror), Vec::<String>::new());
-        assert_eq!(mirror.expire(DOUBT_MS).effects, [set("a", 3)]);
+        assert_eq!(mirror.expire(WITHHOLD_MS).effects, [set("a", 3)]);
     }
 }
 
-/// Guards against a replica that nobody uses for good, since its entry had lapsed before.
+/// Guards against a replica that is never used because its entry had lapsed before the restore.
 #[test]
-fn what_is_still_there_when_it_must_have_lapsed_is_used() {
-    let mut mirror = of_replicas();
-    mirror.apply(&whole((7, 80), vec![object("a", 40, 3)]), 0);
+fn objects_that_outlast_the_withhold_time_are_used() {
+    let mut mirror = replica_mirror();
+    mirror.apply(&full_list((7, 80), vec![object("a", 40, 3)]), 0);
     mirror.apply(&deletion((7, 85), "a"), 0);
-    mirror.apply(&whole((8, 70), vec![object("a", 40, 3)]), 0);
-    assert_eq!(mirror.expire(DOUBT_MS).effects, [set("a", 3)]);
+    mirror.apply(&full_list((8, 70), vec![object("a", 40, 3)]), 0);
+    assert_eq!(mirror.expire(WITHHOLD_MS).effects, [set("a", 3)]);
 }
 
-/// Guards against the second of two restores before everything was written again.
+/// Guards against a second restore before all objects were written again.
 #[test]
-fn a_second_restore_begins_the_time_anew() {
-    let mut mirror = of_replicas();
-    mirror.apply(&whole((7, 80), vec![object("a", 79, 1)]), 0);
-    mirror.apply(&whole((8, 70), Vec::new()), 10_000);
-    assert_eq!(mirror.apply(&whole((9, 60), Vec::new()), 11_500).effects, []);
+fn a_second_restore_restarts_the_retention() {
+    let mut mirror = replica_mirror();
+    mirror.apply(&full_list((7, 80), vec![object("a", 79, 1)]), 0);
+    mirror.apply(&full_list((8, 70), Vec::new()), 10_000);
+    assert_eq!(mirror.apply(&full_list((9, 60), Vec::new()), 11_500).effects, []);
     assert_eq!(mirror.expire(12_100).effects, []);
     assert_eq!(
         mirror.apply(&events((9, 61), vec![object("a", 61, 2)]), 12_200).effects,
         [set("a", 2)]
     );
-    assert_eq!(mirror.expire(11_500 + KEPT_MS).effects, []);
+    assert_eq!(mirror.expire(11_500 + RETENTION_MS).effects, []);
     assert_eq!(contents(&mirror), ["a:2"]);
 }
 
-/// Guards against an instance that tells the old as the newer, and one that goes on asking.
+/// Guards against an instance that spreads old state as newer, or keeps requesting changes.
 #[test]
-fn instances_of_two_eras_end_with_the_same() {
-    let (mut first, mut second) = (of_replicas(), of_replicas());
+fn instances_of_two_eras_converge() {
+    let (mut first, mut second) = (replica_mirror(), replica_mirror());
     for mirror in [&mut first, &mut second] {
-        mirror.apply(&whole((7, 80), vec![object("a", 60, 1), object("b", 79, 1)]), 0);
+        mirror.apply(&full_list((7, 80), vec![object("a", 60, 1), object("b", 79, 1)]), 0);
     }
-    first.apply(&whole((8, 70), vec![object("a", 60, 1)]), 0);
+    first.apply(&full_list((8, 70), vec![object("a", 60, 1)]), 0);
     first.apply(&events((8, 75), vec![object("c", 75, 1)]), 0);
     assert_eq!(first.apply(&second.since(first.position()), 0).effects, []);
     second.apply(&first.since(second.position()), 0);
     assert_eq!(second.position(), first.position());
     assert_eq!(contents(&second), contents(&first));
     for mirror in [&mut first, &mut second] {
-        mirror.expire(KEPT_MS);
+        mirror.expire(RETENTION_MS);
         assert_eq!(contents(mirror), ["a:1", "c:1"]);
     }
 }
 
 #[test]
-fn an_answer_tells_of_a_restore_once_and_of_the_past_never() {
+fn a_restore_is_reported_once_and_late_answers_are_detected() {
     let mut eras = Eras::default();
     assert_eq!(eras.take(Some(7), 0, false), Told::Restored);
     assert_eq!(eras.take(Some(7), 7, false), Told::Same);
     assert_eq!(eras.take(Some(8), 7, false), Told::Restored);
-    // A watch from before, and a stale read, may still be of the era before.
+    // A watch opened earlier, and a stale read, may still return the previous era.
     assert_eq!(eras.take(Some(7), 7, false), Told::Late);
     assert_eq!(eras.take(Some(7), 8, true), Told::Late);
     eras.hear(9);
     assert_eq!(eras.take(Some(9), 8, false), Told::Same);
 }
 
-/// Guards against a store whose header is missing or makes no sense: it is followed as before.
+/// Guards against a missing or invalid era header: the store is followed as before.
 #[test]
-fn an_era_that_goes_back_or_is_missing_is_the_present_one() {
+fn a_missing_or_lower_era_keeps_the_current_one() {
     let mut eras = Eras::default();
     eras.take(Some(7), 0, false);
     assert_eq!(eras.take(None, 7, false), Told::Same);
