--- a/crates/decide/src/claim.rs
+++ b/crates/decide/src/claim.rs
@@ -1,24 +1,23 @@
-//! Claims of idempotency keys: the rule by which a request runs at most once.
+//! Claims of idempotency keys, which ensure that a request runs at most once.
 //!
-//! A key is claimed in a bucket object on the platform before the request goes
-//! out. Only the conditional update of the bucket decides: ownership of buckets
-//! makes batches large and conflicts rare, but no lease and no clock is trusted.
-//! What would go wrong otherwise: a holder that was paused past its lease wakes
-//! up and runs the request that another instance has run meanwhile; the caller
+//! A key is claimed in a bucket object on the platform before the request is sent. Only the
+//! conditional update of the bucket decides. Ownership of buckets makes batches large and conflicts
+//! rare, but no lease and no clock is relied upon. Otherwise a holder that was paused beyond its
+//! lease would resume and run a request that another instance has run in the meantime; the caller
 //! would notice a second reminder.
 //!
-//! A key carries the time of its issue (`UUIDv7`). The bucket keeps a floor: claims
-//! of keys issued before it are refused for good, so old entries can be dropped
-//! without trusting any clock for safety.
+//! A key contains the time of its issue (`UUIDv7`). The bucket has a floor: claims of keys issued
+//! before it are always refused, so old entries can be dropped without relying on any clock for
+//! safety.
 
 use std::collections::BTreeMap;
 
-/// An idempotency key: a `UUIDv7` as a number; its first 48 bits are its time.
+/// Idempotency key: a `UUIDv7` as a number, whose first 48 bits are its time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub u128);
 
 impl Key {
-    /// Time of issue in milliseconds since the epoch.
+    /// Returns the time of issue in milliseconds since the Unix epoch.
     #[must_use]
     pub fn issued_ms(self) -> u64 {
         const TIME_SHIFT: u32 = 80;
@@ -26,42 +25,42 @@
     }
 }
 
-/// Random number of one attempt; it tells a lost answer's effect from a rival's.
+/// Random number of one attempt, which shows whether an update with a lost answer was its own.
 pub type Nonce = u64;
 
 /// Content of one bucket object.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Bucket {
-    /// Keys issued before this time are refused, in milliseconds since the epoch.
+    /// Time in milliseconds since the Unix epoch; keys issued earlier are refused.
     pub floor_ms: u64,
-    /// The attempt that holds each claimed key.
+    /// Attempt that holds each claimed key.
     pub claims: BTreeMap<Key, Nonce>,
-    /// Era of the platform for which the claims are complete: in a later one some may be lost.
+    /// Platform era for which the claims are complete; in a later one some may be lost.
     pub era: u64,
 }
 
-/// One wanted change of a bucket.
+/// Change to a bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Change {
-    /// Claim the key for this attempt.
+    /// Claims the key for this attempt.
     Claim(Key, Nonce),
-    /// Give the key back; only for an attempt that surely never sent anything.
+    /// Releases the key; allowed only if the attempt has definitely sent nothing.
     Release(Key, Nonce),
 }
 
-/// What became of a claim.
+/// Outcome of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Outcome {
-    /// This attempt holds the key: it may send once.
+    /// This attempt holds the key and may send once.
     Granted,
     /// Another attempt holds the key.
     Taken,
-    /// The key is older than the floor.
+    /// The key was issued before the floor.
     Expired,
 }
 
 impl Bucket {
-    /// Applies a batch; the result takes effect only by a conditional update.
+    /// Returns the bucket after a batch, which takes effect only by a conditional update.
     #[must_use]
     pub fn with(&self, batch: &[Change]) -> Self {
         let mut next = self.clone();
@@ -86,10 +85,10 @@
         }
     }
 
-    /// What became of the claim of `key` by the attempt `nonce`.
+    /// Returns the outcome of a claim, or `None` if the key is neither claimed nor expired.
     ///
-    /// Read from a bucket that the platform confirmed, or that was re-read after
-    /// an answer was lost: the nonce shows whether the lost update took effect.
+    /// The bucket must have been confirmed by the platform, or re-read after an answer was lost; in
+    /// that case the nonce shows whether the update took effect.
     #[must_use]
     pub fn outcome(&self, key: Key, nonce: Nonce) -> Option<Outcome> {
         match self.claims.get(&key) {
@@ -100,11 +99,12 @@
         }
     }
 
-    /// Makes a bucket of an earlier era, or one that a restored platform lacks, safe to claim in.
+    /// Makes a bucket of an earlier era, or one missing after a restore, safe to claim in.
     ///
-    /// Claims may be lost, or overwritten by a writer whose version was given out again, since a
-    /// condition names no era. So keys issued before `floor_ms` are refused from now on; keys of
-    /// callers whose clocks run further ahead are known only where they are `remembered`.
+    /// Claims may have been lost, or overwritten by a writer whose expected version was assigned
+    /// again, since conditions contain no era. Keys issued before `floor_ms` are therefore refused
+    /// from now on. Keys of callers whose clocks are further ahead are known only if they are
+    /// `remembered`.
     pub fn enter(&mut self, era: u64, floor_ms: u64, remembered: &Self) {
         self.era = era;
         for (&key, &nonce) in &remembered.claims {
@@ -115,13 +115,13 @@
 
     /// Raises the floor and drops the claims below it.
     ///
-    /// `keep_most` bounds the object's size: beyond it the oldest claims go, and
-    /// the floor rises past them, so that they are refused rather than run again.
-    pub fn raise_floor(&mut self, floor_ms: u64, keep_most: usize) {
+    /// `max_claims` limits the object's size. Beyond it, the oldest claims are dropped and the
+    /// floor rises above them, so that their keys are refused rather than run again.
+    pub fn raise_floor(&mut self, floor_ms: u64, max_claims: usize) {
         self.floor_ms = self.floor_ms.max(floor_ms);
-        if self.claims.len() > keep_most {
-            let cut = self.claims.len() - keep_most;
-            if let Some(key) = self.claims.keys().nth(cut - 1) {
+        if self.claims.len() > max_claims {
+            let excess = self.claims.len() - max_claims;
+            if let Some(key) = self.claims.keys().nth(excess - 1) {
                 self.floor_ms = self.floor_ms.max(key.issued_ms() + 1);
             }
         }
@@ -130,21 +130,21 @@
     }
 }
 
-/// Where one attempt stands; it sends at most once.
+/// State of one attempt, which sends at most once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Attempt {
     /// The claim is not resolved yet.
     Claiming,
-    /// The claim is held and nothing was sent.
+    /// The key is claimed and nothing was sent.
     Holding,
-    /// The request went out, or may have.
+    /// The request was sent, or may have been.
     Sent,
-    /// The attempt is over without having sent anything.
+    /// The attempt has ended without sending anything.
     GivenUp,
 }
 
 impl Attempt {
-    /// Takes in the outcome of the claim.
+    /// Returns the state after the outcome of the claim.
     #[must_use]
     pub fn resolved(self, outcome: Outcome) -> Self {
         match (self, outcome) {
@@ -154,29 +154,30 @@
         }
     }
 
-    /// Takes the one permission to send; `None` where there is none (left).
+    /// Uses the permission to send; returns `None` if there is none or it is used up.
     #[must_use]
     pub fn send(self) -> Option<Self> {
         (self == Self::Holding).then_some(Self::Sent)
     }
 
-    /// The send surely never ran: no byte went out, or the server refused it unrun.
+    /// Restores the permission to send after a send that definitely did not run.
     ///
-    /// Only the sender itself may say so, of the send that it has just made.
+    /// That is the case if no byte was sent, or if the server refused the request before running
+    /// it. Only the sender itself may call this, for the send that it has just made.
     #[must_use]
     pub fn not_sent(self) -> Self {
         if self == Self::Sent { Self::Holding } else { self }
     }
 
-    /// Ends the attempt for good; a later grant can no longer lead to a send.
+    /// Ends the attempt permanently; a later grant does not permit a send.
     #[must_use]
     pub fn give_up(self) -> Self {
         if self == Self::Sent { self } else { Self::GivenUp }
     }
 
-    /// Whether a refusal may truly say that this attempt did not run.
+    /// Returns true if a refusal may state that this attempt did not run.
     #[must_use]
-    pub fn is_surely_not_run(self) -> bool {
+    pub fn has_not_run(self) -> bool {
         self != Self::Sent
     }
 }
--- a/crates/decide/src/config.rs
+++ b/crates/decide/src/config.rs
@@ -3,42 +3,42 @@
 use crate::history::Position;
 use crate::prelude::ConfigVersion;
 
-/// Number of accepted edits that the stored object remembers.
+/// Maximum number of recent edits kept in the stored object.
 pub const REMEMBERED_EDITS: usize = 64;
 
-/// One accepted edit.
+/// Accepted edit.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Edit {
-    /// The submitter's unique id of the edit.
+    /// Unique id assigned by the submitter.
     pub edit_id: u64,
-    /// Version of the text that the edit was made from.
+    /// Version of the text on which the edit is based.
     pub base: ConfigVersion,
 }
 
-/// What is known of a submitted edit.
+/// Result of a submitted edit, as far as it is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Submission {
     /// The edit was accepted and is the stored text, with this version.
     Accepted(ConfigVersion),
-    /// The edit was accepted, and a later edit was made on top of it.
+    /// The edit was accepted, and a later edit was based on it.
     Superseded(ConfigVersion),
-    /// The text was changed since; nothing was overwritten.
+    /// The text had changed; nothing was overwritten.
     Conflict(ConfigVersion),
-    /// The edit has not taken effect (yet); sending it again is safe.
+    /// The edit has not taken effect so far; it is safe to submit it again.
     Open,
 }
 
-/// Resolves an edit whose answer was lost, from the re-read object.
+/// Determines from the re-read object the result of an edit whose answer was lost.
 ///
-/// The object remembers the last edits, so the submitter finds its own also where
-/// somebody else's edit was accepted on top of it. Sending an open edit again is
-/// safe: both copies are conditional on the same base, so one takes effect.
+/// The object contains the recent edits, so the submitter finds its own even if a later one was
+/// accepted on top of it. An open edit can be submitted again: both submissions are conditional on
+/// the same base, so only one takes effect.
 #[must_use]
-pub fn resolve(edit: &Edit, stored_version: ConfigVersion, remembered: &[Edit]) -> Submission {
-    if remembered.last() == Some(edit) {
+pub fn resolve(edit: &Edit, stored_version: ConfigVersion, recent_edits: &[Edit]) -> Submission {
+    if recent_edits.last() == Some(edit) {
         return Submission::Accepted(stored_version);
     }
-    if remembered.contains(edit) {
+    if recent_edits.contains(edit) {
         return Submission::Superseded(stored_version);
     }
     if stored_version == edit.base {
@@ -47,37 +47,39 @@
     Submission::Conflict(stored_version)
 }
 
-/// The remembered edits after one more was accepted.
+/// Appends an accepted edit to the recent ones and drops the oldest beyond the limit.
 #[must_use]
-pub fn remember(mut remembered: Vec<Edit>, edit: Edit) -> Vec<Edit> {
-    remembered.push(edit);
-    let surplus = remembered.len().saturating_sub(REMEMBERED_EDITS);
-    remembered.drain(..surplus);
-    remembered
+pub fn push_edit(mut recent_edits: Vec<Edit>, edit: Edit) -> Vec<Edit> {
+    recent_edits.push(edit);
+    let surplus = recent_edits.len().saturating_sub(REMEMBERED_EDITS);
+    recent_edits.drain(..surplus);
+    recent_edits
 }
 
-/// What becomes of a stored text that is offered.
+/// Result of offering a stored text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Offered {
-    /// It is to be put in force. These edits, accepted before, are not part of it: the store was
-    /// restored from a copy that lacked them, and somebody has edited that.
+    /// The text is now in force.
+    ///
+    /// `lost` lists edits accepted earlier that are not part of it: the store was restored from a
+    /// backup without them, and the restored text has been edited since.
     Taken {
-        /// Ids of the edits that are lost.
+        /// Ids of the lost edits.
         lost: Vec<u64>,
     },
-    /// It is in force already, or older.
+    /// The text is already in force, or older.
     Known,
-    /// The restored store has an older text, which the one in force is to replace there.
+    /// The restored store has an older text, which the one in force must replace there.
     Outdated,
 }
 
-/// The configuration version that a process has in force.
+/// Configuration version that a process has in force.
 ///
-/// A stale answer of the platform or of a slow peer must not bring an old text
-/// back: one would notice a withdrawn replica getting work again. So the version
-/// only goes up within a process, and a starting process is not ready before it
-/// has one from the platform or a peer. A restored platform gives versions out again; of two eras
-/// the text that has the other's last edit among its own is the newer one.
+/// A stale answer of the platform or of a slow peer must not bring back an old text, or a withdrawn
+/// replica would get work again. The version therefore only increases within a process, and a
+/// starting process is not ready before it has one from the platform or a peer. A restored platform
+/// assigns versions again; of two texts of different eras, the one that contains the other's last
+/// edit is newer.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InForce {
     version: Option<ConfigVersion>,
@@ -85,10 +87,10 @@
 }
 
 impl InForce {
-    /// Offers a version with the edits that it remembers; what is taken is in force from now on.
+    /// Offers a version with its recent edits; an accepted one is in force from now on.
     #[must_use]
     pub fn offer(&mut self, version: ConfigVersion, edits: &[Edit]) -> Offered {
-        let offered = self.judge(version, edits);
+        let offered = self.compare(version, edits);
         if matches!(offered, Offered::Taken { .. }) {
             self.version = self.version.max(Some(version));
             self.edits = edits.to_vec();
@@ -96,22 +98,23 @@
         offered
     }
 
-    fn judge(&self, version: ConfigVersion, edits: &[Edit]) -> Offered {
-        let taken = Offered::Taken { lost: Vec::new() };
-        let Some(current) = self.version else { return taken };
+    fn compare(&self, version: ConfigVersion, edits: &[Edit]) -> Offered {
+        let accepted = Offered::Taken { lost: Vec::new() };
+        let Some(current) = self.version else { return accepted };
         let era = |version| Position::from_number(version).era;
         if era(version) == era(current) {
-            return if version > current { taken } else { Offered::Known };
+            return if version > current { accepted } else { Offered::Known };
         }
         let has = |edits: &[Edit], last: Option<&Edit>| {
             last.is_some_and(|last| edits.iter().any(|e| e.edit_id == last.edit_id))
         };
-        let (has_told, has_own) = (has(&self.edits, edits.last()), has(edits, self.edits.last()));
+        let (current_has_offered, offered_has_current) =
+            (has(&self.edits, edits.last()), has(edits, self.edits.last()));
         let is_later = version > current;
-        match (has_told, has_own) {
-            // It was made from the one in force, or is that at another place.
-            (false, true) => taken,
-            (true, true) if is_later => taken,
+        match (current_has_offered, offered_has_current) {
+            // The offered text is based on the one in force, or is the same at another position.
+            (false, true) => accepted,
+            (true, true) if is_later => accepted,
             (true, false) if is_later => Offered::Outdated,
             (false, false) if is_later => {
                 let is_lost = |e: &&Edit| !has(edits, Some(*e));
@@ -122,7 +125,7 @@
         }
     }
 
-    /// The version in force.
+    /// Returns the version in force.
     #[must_use]
     pub fn version(&self) -> Option<ConfigVersion> {
         self.version
--- a/crates/decide/tests/model_claims.rs
+++ b/crates/decide/tests/model_claims.rs
@@ -1,8 +1,9 @@
-//! Model check of claims: two attempts at one key, an owner that claims on behalf,
-//! lost answers, delays of any length, give-ups, releases and clean-up.
+//! Model check of claims.
 //!
-//! The transitions call the production decisions. Every reachable state is visited;
-//! a mutant of each rule must lead to a second run.
+//! The model has two attempts at one key, an owner that claims on behalf of an attempt, lost
+//! answers, delays of any length, abandoned attempts, releases and clean-up. Its transitions call
+//! the production code. Every reachable state is visited; disabling any rule must lead to a second
+//! run.
 
 use eelgrasspier_decide::claim::{Attempt, Bucket, Change, Key, Outcome};
 use pathfinding::prelude::bfs;
@@ -10,15 +11,15 @@
 const KEY: Key = Key(7 << 80);
 const NONCES: [u64; 2] = [11, 22];
 
-/// A rule that is left out.
+/// Rule that is disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// Updates ignore the version that they were made from.
+    /// Updates are not conditional on the version that was read.
     Unconditional,
-    /// A lost answer is taken for success.
+    /// A lost answer is assumed to be a success.
     TrustsLostAnswer,
-    /// The owner releases a claim that it made on behalf of another.
+    /// The owner releases a claim that it made on behalf of an attempt.
     OwnerReleases,
     /// Old claims are dropped without raising the floor.
     NoFloor,
@@ -28,7 +29,7 @@
     ReleasesWhileHolding,
 }
 
-/// An update on its way to the platform.
+/// Update in flight to the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Update {
     /// Attempt that made it; `None` for the owner and the clean-up.
@@ -40,11 +41,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Actor {
     attempt: Attempt,
-    /// What it last read; dropped when an answer is lost or in conflict.
+    /// Last read version; cleared if an answer is lost or in conflict.
     read: Option<(u32, Bucket)>,
     is_waiting: bool,
     releases: bool,
-    ran: u8,
+    runs: u8,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -53,34 +54,34 @@
     bucket: Bucket,
     updates: Vec<Update>,
     actors: [Actor; 2],
-    /// Steps left to the owner and the clean-up.
-    owner_claims: bool,
-    owner_releases: bool,
-    cleans: bool,
+    /// True while the owner and the clean-up have steps left.
+    can_owner_claim: bool,
+    can_owner_release: bool,
+    can_clean_up: bool,
 }
 
 impl System {
-    fn start() -> Self {
+    fn initial() -> Self {
         let actor = Actor {
             attempt: Attempt::Claiming,
             read: None,
             is_waiting: false,
             releases: false,
-            ran: 0,
+            runs: 0,
         };
         Self {
             version: 0,
             bucket: Bucket::default(),
             updates: Vec::new(),
             actors: [actor.clone(), actor],
-            owner_claims: true,
-            owner_releases: true,
-            cleans: true,
+            can_owner_claim: true,
+            can_owner_release: true,
+            can_clean_up: true,
         }
     }
 
     fn has_second_run(&self) -> bool {
-        self.actors.iter().map(|a| a.ran).sum::<u8>() > 1
+        self.actors.iter().map(|a| a.runs).sum::<u8>() > 1
     }
 
     fn successors(&self, mutant: Mutant) -> Vec<Self> {
@@ -88,9 +89,9 @@
         for i in 0..self.actors.len() {
             self.actor_steps(i, mutant, &mut next);
         }
-        self.deliveries(mutant, &mut next);
+        self.delivery_steps(mutant, &mut next);
         self.owner_steps(mutant, &mut next);
-        self.clean_up(mutant, &mut next);
+        self.clean_up_steps(mutant, &mut next);
         next
     }
 
@@ -108,7 +109,7 @@
         if let Some((version, bucket)) = &actor.read
             && !actor.is_waiting
         {
-            let wanted = match actor.attempt {
+            let next_change = match actor.attempt {
                 Attempt::Claiming if bucket.outcome(KEY, NONCES[i]).is_none() => {
                     Some(Change::Claim(KEY, NONCES[i]))
                 }
@@ -118,7 +119,7 @@
                 }
                 _ => None,
             };
-            if let Some(change) = wanted {
+            if let Some(change) = next_change {
                 let bucket = bucket.with(&[change]);
                 let update = Update { by: Some(i), expected: *version, bucket };
                 next.push(self.with(|s| {
@@ -135,11 +136,11 @@
                 s.actors[i].read = None;
             }));
         }
-        self.sends(i, mutant, next);
+        self.send_steps(i, mutant, next);
     }
 
-    /// A send runs, or surely does not (no byte went out, or it was shed).
-    fn sends(&self, i: usize, mutant: Mutant, next: &mut Vec<Self>) {
+    /// A send runs, or definitely does not (no byte was sent, or it was shed).
+    fn send_steps(&self, i: usize, mutant: Mutant, next: &mut Vec<Self>) {
         let attempt = self.actors[i].attempt;
         let permitted = match attempt.send() {
             None if mutant == Mutant::SendsAgain && attempt == Attempt::Sent => Some(attempt),
@@ -148,12 +149,12 @@
         let Some(sent) = permitted else { return };
         next.push(self.with(|s| {
             s.actors[i].attempt = sent;
-            s.actors[i].ran += 1;
+            s.actors[i].runs += 1;
         }));
         next.push(self.with(|s| s.actors[i].attempt = sent.not_sent()));
     }
 
-    /// An actor takes in the bucket, from an answer or a read.
+    /// An attempt reads the bucket, from an answer or directly.
     fn read(&mut self, i: usize) {
         let bucket = self.bucket.clone();
         self.actors[i].read = Some((self.version, bucket.clone()));
@@ -161,7 +162,7 @@
         self.actors[i].attempt = self.actors[i].attempt.resolved(outcome);
     }
 
-    fn deliveries(&self, mutant: Mutant, next: &mut Vec<Self>) {
+    fn delivery_steps(&self, mutant: Mutant, next: &mut Vec<Self>) {
         for at in 0..self.updates.len() {
             let update = &self.updates[at];
             let applies = update.expected == self.version || mutant == Mutant::Unconditional;
@@ -176,7 +177,7 @@
                 next.push(delivered);
                 continue;
             };
-            // The answer is lost: whoever waits must read again.
+            // The answer is lost; a waiting attempt must read again.
             next.push(delivered.with(|s| {
                 if s.actors[i].is_waiting {
                     s.actors[i].is_waiting = false;
@@ -186,7 +187,7 @@
                     }
                 }
             }));
-            // The answer comes.
+            // The answer arrives.
             next.push(delivered.with(|s| {
                 if s.actors[i].is_waiting {
                     s.actors[i].is_waiting = false;
@@ -199,7 +200,7 @@
                 }
             }));
         }
-        // Whoever waits gives up waiting, and the update still travels.
+        // A waiting attempt stops waiting while the update is still in flight.
         for i in 0..self.actors.len() {
             if self.actors[i].is_waiting {
                 next.push(self.with(|s| {
@@ -220,28 +221,28 @@
         }
     }
 
-    /// The bucket's owner claims for the first attempt, by what it reads.
+    /// The bucket's owner claims for the first attempt, based on its own read.
     fn owner_steps(&self, mutant: Mutant, next: &mut Vec<Self>) {
-        let push = |change| {
+        let to_update = |change| {
             let bucket = self.bucket.with(&[change]);
             Update { by: None, expected: self.version, bucket }
         };
-        if self.owner_claims {
+        if self.can_owner_claim {
             next.push(self.with(|s| {
-                s.owner_claims = false;
-                s.updates.push(push(Change::Claim(KEY, NONCES[0])));
+                s.can_owner_claim = false;
+                s.updates.push(to_update(Change::Claim(KEY, NONCES[0])));
             }));
         }
-        if mutant == Mutant::OwnerReleases && !self.owner_claims && self.owner_releases {
+        if mutant == Mutant::OwnerReleases && !self.can_owner_claim && self.can_owner_release {
             next.push(self.with(|s| {
-                s.owner_releases = false;
-                s.updates.push(push(Change::Release(KEY, NONCES[0])));
+                s.can_owner_release = false;
+                s.updates.push(to_update(Change::Release(KEY, NONCES[0])));
             }));
         }
     }
 
-    fn clean_up(&self, mutant: Mutant, next: &mut Vec<Self>) {
-        if !self.cleans {
+    fn clean_up_steps(&self, mutant: Mutant, next: &mut Vec<Self>) {
+        if !self.can_clean_up {
             return;
         }
         let mut bucket = self.bucket.clone();
@@ -251,22 +252,22 @@
         }
         let update = Update { by: None, expected: self.version, bucket };
         next.push(self.with(|s| {
-            s.cleans = false;
+            s.can_clean_up = false;
             s.updates.push(update);
         }));
     }
 }
 
-/// Updates in progress at a time; more add no behaviour that fewer do not show.
-const MOST_UPDATES: usize = 2;
-/// Versions of the bucket that are explored.
-const MOST_VERSIONS: u32 = 5;
+/// Maximum number of updates in flight; further ones add no other behaviour.
+const MAX_UPDATES: usize = 2;
+/// Maximum version of the bucket that is explored.
+const MAX_VERSIONS: u32 = 5;
 
 fn counterexample(mutant: Mutant) -> Option<Vec<System>> {
-    let within = |s: &System| s.updates.len() <= MOST_UPDATES && s.version <= MOST_VERSIONS;
+    let is_in_bounds = |s: &System| s.updates.len() <= MAX_UPDATES && s.version <= MAX_VERSIONS;
     let successors =
-        |s: &System| s.successors(mutant).into_iter().filter(within).collect::<Vec<_>>();
-    bfs(&System::start(), successors, System::has_second_run)
+        |s: &System| s.successors(mutant).into_iter().filter(is_in_bounds).collect::<Vec<_>>();
+    bfs(&System::initial(), successors, System::has_second_run)
 }
 
 #[test]
@@ -275,7 +276,7 @@
 }
 
 #[test]
-fn every_rule_is_needed() {
+fn each_disabled_rule_has_a_counterexample() {
     let mutants = [
         Mutant::Unconditional,
         Mutant::TrustsLostAnswer,
--- a/crates/decide/tests/model_config.rs
+++ b/crates/decide/tests/model_config.rs
@@ -1,36 +1,38 @@
-//! Model check of configuration: two operators race, answers are lost, instances
-//! read stale versions, restart, and hear of versions from each other.
+//! Model check of the configuration rules.
+//!
+//! Two operators race and answers are lost; instances read stale versions, restart, and receive
+//! versions from each other.
 
-use eelgrasspier_decide::config::{Edit, InForce, Submission, remember, resolve};
+use eelgrasspier_decide::config::{Edit, InForce, Submission, push_edit, resolve};
 use pathfinding::prelude::bfs;
 
-/// A rule that is left out.
+/// Rule that is disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// Updates ignore the version that they were made from.
+    /// Updates are not conditional on their base version.
     Unconditional,
-    /// The stored object remembers only the last edit.
-    RemembersLastOnly,
-    /// An instance puts in force whatever it is offered.
-    TakesAnyVersion,
-    /// A version above the base is taken for the own edit.
-    TrustsVersion,
+    /// The stored object contains only the last edit.
+    KeepsLastEditOnly,
+    /// An instance applies every version that it is offered.
+    AppliesAnyVersion,
+    /// A version above the base is assumed to be the own edit.
+    AssumesOwnVersion,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Operator {
     edit: Edit,
-    /// Updates that it may still send.
-    tries: u8,
-    told: Option<Submission>,
+    /// Remaining update attempts.
+    attempts_left: u8,
+    result: Option<Submission>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct System {
-    /// Every accepted edit, in order; version n is the n-th.
+    /// All accepted edits in order; the n-th has version n.
     history: Vec<Edit>,
-    remembered: Vec<Edit>,
+    recent_edits: Vec<Edit>,
     updates: Vec<Edit>,
     operators: [Operator; 2],
     in_force: [InForce; 2],
@@ -39,12 +41,13 @@
 }
 
 impl System {
-    fn start() -> Self {
+    fn initial() -> Self {
         let first = Edit { edit_id: 1, base: 0 };
-        let operator = |edit_id| Operator { edit: Edit { edit_id, base: 1 }, tries: 2, told: None };
+        let operator =
+            |edit_id| Operator { edit: Edit { edit_id, base: 1 }, attempts_left: 2, result: None };
         Self {
             history: vec![first.clone()],
-            remembered: vec![first],
+            recent_edits: vec![first],
             updates: Vec::new(),
             operators: [
                 operator(10),
@@ -59,22 +62,22 @@
         self.history.len() as u64
     }
 
-    fn is_broken(&self) -> bool {
-        let lies = self.operators.iter().any(|o| {
-            let is_in = self.history.contains(&o.edit);
-            match o.told {
-                Some(Submission::Accepted(_) | Submission::Superseded(_)) => !is_in,
+    fn violates_invariants(&self) -> bool {
+        let has_wrong_result = self.operators.iter().any(|o| {
+            let is_accepted = self.history.contains(&o.edit);
+            match o.result {
+                Some(Submission::Accepted(_) | Submission::Superseded(_)) => !is_accepted,
                 Some(Submission::Conflict(_)) => {
-                    is_in || self.updates.contains(&o.edit) && self.version() == o.edit.base
+                    is_accepted || self.updates.contains(&o.edit) && self.version() == o.edit.base
                 }
                 _ => false,
             }
         });
-        // Every edit was made from the text that it replaced.
+        // Every edit is based on the text that it replaced.
         let overwrites = self.history.iter().zip(0..).any(|(edit, base)| edit.base != base);
         let reverts =
-            self.in_force.iter().zip(&self.highest).any(|(now, high)| now.version() < *high);
-        lies || overwrites || reverts
+            self.in_force.iter().zip(&self.highest).any(|(now, highest)| now.version() < *highest);
+        has_wrong_result || overwrites || reverts
     }
 
     fn with(&self, change: impl FnOnce(&mut Self)) -> Self {
@@ -98,47 +101,48 @@
         next
     }
 
-    /// The platform applies an update; its answer is always lost here, so that the
-    /// operator has to find out by reading.
+    /// Applies an update on the platform and loses its answer.
+    ///
+    /// The operator therefore always has to read the result.
     fn deliver(&mut self, at: usize, mutant: Mutant) {
         let edit = self.updates.remove(at);
         if edit.base == self.version() || mutant == Mutant::Unconditional {
             self.history.push(edit.clone());
-            self.remembered = match mutant {
-                Mutant::RemembersLastOnly => vec![edit],
-                _ => remember(self.remembered.clone(), edit),
+            self.recent_edits = match mutant {
+                Mutant::KeepsLastEditOnly => vec![edit],
+                _ => push_edit(self.recent_edits.clone(), edit),
             };
         }
     }
 
     fn operator_steps(&self, i: usize, mutant: Mutant, next: &mut Vec<Self>) {
         let operator = &self.operators[i];
-        if operator.told.is_some() {
+        if operator.result.is_some() {
             return;
         }
-        let found = match resolve(&operator.edit, self.version(), &self.remembered) {
-            Submission::Conflict(version) if mutant == Mutant::TrustsVersion => {
+        let resolved = match resolve(&operator.edit, self.version(), &self.recent_edits) {
+            Submission::Conflict(version) if mutant == Mutant::AssumesOwnVersion => {
                 Submission::Accepted(version)
             }
-            found => found,
+            resolved => resolved,
         };
-        match found {
-            // The second operator edits from a text that is not there yet.
+        match resolved {
+            // The base version of the second operator does not exist yet.
             Submission::Conflict(version) if version < operator.edit.base => {}
-            Submission::Open if operator.tries > 0 => next.push(self.with(|s| {
-                s.operators[i].tries -= 1;
+            Submission::Open if operator.attempts_left > 0 => next.push(self.with(|s| {
+                s.operators[i].attempts_left -= 1;
                 s.updates.push(s.operators[i].edit.clone());
             })),
             Submission::Open => {}
-            told => next.push(self.with(|s| s.operators[i].told = Some(told))),
+            result => next.push(self.with(|s| s.operators[i].result = Some(result))),
         }
     }
 
-    /// An instance is offered any version up to the newest, as by a stale read.
+    /// Offers an instance any version up to the newest, as a stale read would.
     fn instance_steps(&self, i: usize, mutant: Mutant, next: &mut Vec<Self>) {
         for version in 1..=self.version() {
             next.push(self.with(|s| {
-                if mutant == Mutant::TakesAnyVersion {
+                if mutant == Mutant::AppliesAnyVersion {
                     s.in_force[i] = InForce::default();
                 }
                 let edits = usize::try_from(version).unwrap();
@@ -150,10 +154,10 @@
 }
 
 fn counterexample(mutant: Mutant) -> Option<Vec<System>> {
-    let within = |s: &System| s.updates.len() <= 3 && s.history.len() <= 5;
+    let is_in_bounds = |s: &System| s.updates.len() <= 3 && s.history.len() <= 5;
     let successors =
-        |s: &System| s.successors(mutant).into_iter().filter(within).collect::<Vec<_>>();
-    bfs(&System::start(), successors, System::is_broken)
+        |s: &System| s.successors(mutant).into_iter().filter(is_in_bounds).collect::<Vec<_>>();
+    bfs(&System::initial(), successors, System::violates_invariants)
 }
 
 #[test]
@@ -162,12 +166,12 @@
 }
 
 #[test]
-fn every_rule_is_needed() {
+fn each_disabled_rule_has_a_counterexample() {
     let mutants = [
         Mutant::Unconditional,
-        Mutant::RemembersLastOnly,
-        Mutant::TakesAnyVersion,
-        Mutant::TrustsVersion,
+        Mutant::KeepsLastEditOnly,
+        Mutant::AppliesAnyVersion,
+        Mutant::AssumesOwnVersion,
     ];
     for mutant in mutants {
         assert!(counterexample(mutant).is_some(), "{mutant:?} breaks nothing");
--- a/crates/decide/tests/restored_texts.rs
+++ b/crates/decide/tests/restored_texts.rs
@@ -1,4 +1,4 @@
-//! The operators' text and claims where the platform is restored from a copy.
+//! Configuration texts and claims across restores of the platform from a backup.
 
 use eelgrasspier_decide::claim::{Bucket, Change, Key, Outcome};
 use eelgrasspier_decide::config::{Edit, InForce, Offered};
@@ -12,8 +12,8 @@
     ids.iter().map(|&edit_id| Edit { edit_id, base: 0 }).collect()
 }
 
-/// An instance that has the text of these edits in force.
-fn with(era: u64, ids: &[u64]) -> InForce {
+/// Returns an instance with the text of these edits in force.
+fn in_force_with(era: u64, ids: &[u64]) -> InForce {
     let mut in_force = InForce::default();
     let first = in_force.offer(version(era, ids.len() as u64), &edits(ids));
     assert_eq!(first, Offered::Taken { lost: vec![] });
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn versions_are_shown_and_read_with_their_era() {
+fn versions_are_formatted_and_parsed_with_their_era() {
     for (text, era, revision) in [("12", 0, 12), ("8.12", 8, 12)] {
         let position: Position = text.parse().unwrap();
         assert_eq!(position, Position { era, revision });
@@ -31,21 +31,21 @@
     assert!("8.".parse::<Position>().is_err());
 }
 
-/// Guards against a text that goes back, since the copy has an older one.
+/// Guards against reverting to the older text of a backup.
 #[test]
-fn an_older_text_of_a_later_era_is_written_over() {
-    let mut in_force = with(1, &[10, 11, 12]);
+fn an_older_text_of_a_later_era_is_outdated() {
+    let mut in_force = in_force_with(1, &[10, 11, 12]);
     assert_eq!(in_force.offer(version(2, 2), &edits(&[10, 11])), Offered::Outdated);
     assert_eq!(in_force.version(), Some(version(1, 3)));
-    let written_again = in_force.offer(version(2, 3), &edits(&[10, 11, 12]));
-    assert_eq!(written_again, Offered::Taken { lost: vec![] });
+    let rewritten = in_force.offer(version(2, 3), &edits(&[10, 11, 12]));
+    assert_eq!(rewritten, Offered::Taken { lost: vec![] });
     assert_eq!(in_force.version(), Some(version(2, 3)));
 }
 
-/// Guards against an edit that is ignored, since its version was given out before.
+/// Guards against ignoring an edit because its version was assigned before the restore.
 #[test]
-fn an_edit_of_a_later_era_is_taken_and_what_it_lacks_is_told() {
-    let mut in_force = with(1, &[10, 11, 12]);
+fn an_edit_of_a_later_era_is_accepted_and_lost_edits_are_listed() {
+    let mut in_force = in_force_with(1, &[10, 11, 12]);
     assert_eq!(
         in_force.offer(version(2, 2), &edits(&[10, 21])),
         Offered::Taken { lost: vec![11, 12] }
@@ -53,24 +53,24 @@
     assert_eq!(in_force.offer(version(1, 4), &edits(&[10, 11, 12, 13])), Offered::Known);
 }
 
-/// Guards against an instance that starts with the older text of the copy.
+/// Guards against an instance that starts with the older text of the backup.
 #[test]
-fn a_text_that_was_made_from_the_one_in_force_is_taken_from_an_earlier_era() {
-    let mut in_force = with(2, &[10, 11]);
-    let told = in_force.offer(version(1, 3), &edits(&[10, 11, 12]));
-    assert_eq!(told, Offered::Taken { lost: vec![] });
+fn a_text_based_on_the_one_in_force_is_accepted_from_an_earlier_era() {
+    let mut in_force = in_force_with(2, &[10, 11]);
+    let offered = in_force.offer(version(1, 3), &edits(&[10, 11, 12]));
+    assert_eq!(offered, Offered::Taken { lost: vec![] });
     assert_eq!(in_force.version(), Some(version(2, 2)));
 }
 
-/// Guards against a second run of a key whose claim a restored platform lacks.
+/// Guards against a second run of a key whose claim the restored platform lacks.
 #[test]
-fn a_bucket_of_an_earlier_era_refuses_older_keys_and_keeps_what_is_remembered() {
+fn a_bucket_of_an_earlier_era_refuses_older_keys_and_keeps_remembered_claims() {
     let key = |ms: u128| Key(ms << 80);
     let remembered = Bucket::default().with(&[Change::Claim(key(9_000), 7)]);
     let mut bucket = Bucket::default();
     bucket.enter(2, 5_000, &remembered);
     assert_eq!(bucket.outcome(key(4_999), 1), Some(Outcome::Expired));
-    // Issued by a clock that runs far ahead.
+    // Issued by a caller whose clock is far ahead.
     assert_eq!(bucket.outcome(key(9_000), 1), Some(Outcome::Taken));
     let bucket = bucket.with(&[Change::Claim(key(5_000), 1)]);
     assert_eq!(bucket.outcome(key(5_000), 1), Some(Outcome::Granted));
