--- a/crates/decide/src/rendezvous.rs
+++ b/crates/decide/src/rendezvous.rs
@@ -1,29 +1,29 @@
-//! Rendezvous hashing: who, of many, is in charge of a key.
+//! Rendezvous hashing: assigns keys to members.
 //!
-//! Every instance computes the same order from the same members without a
-//! message, and a member that leaves moves only the keys that it held.
+//! Every instance computes the same order from the same members without communication, and a member
+//! that leaves moves only the keys assigned to it.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Stable 64-bit hash of a name.
+/// Returns a stable 64-bit hash of a name.
 #[must_use]
 pub fn hash(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// Weight of one member for one key; the highest weight is in charge.
+/// Returns the weight of a member for a key; the member with the highest weight owns the key.
 #[must_use]
 pub fn weight(key: u64, member: u64) -> u64 {
     xxh3_64_with_seed(&member.to_le_bytes(), key)
 }
 
-/// Position in `members` of the one in charge of `key`.
+/// Returns the index in `members` of the owner of `key`; `None` if there are no members.
 #[must_use]
 pub fn owner(key: u64, members: &[u64]) -> Option<usize> {
     (0..members.len()).max_by_key(|&i| (weight(key, members[i]), members[i]))
 }
 
-/// Whether `member` is among the `top` of `members` for `key`.
+/// Returns true if `member` is among the `top` highest ranked of `members` for `key`.
 #[must_use]
 pub fn is_in_top(key: u64, member: u64, members: &[u64], top: usize) -> bool {
     let own = (weight(key, member), member);
@@ -31,7 +31,7 @@
     ahead < top
 }
 
-/// The `top` members with the highest weights for `key`, highest first.
+/// Returns the `top` members with the highest weights for `key`, highest first.
 #[must_use]
 pub fn top(key: u64, members: &[u64], top: usize) -> Vec<u64> {
     let mut ranked: Vec<(u64, u64)> = members.iter().map(|&m| (weight(key, m), m)).collect();
@@ -39,9 +39,9 @@
     ranked.into_iter().take(top).map(|(_, m)| m).collect()
 }
 
-/// Distance of a member of some capacity from a key; the least is in charge.
+/// Returns the distance of a member from a key; the member with the least distance owns it.
 ///
-/// An exponential variable whose rate is the capacity: each member is in charge of a share
+/// The distance is an exponential variable whose rate is the capacity, so each member owns a share
 /// of the keys in proportion to its capacity.
 #[must_use]
 pub fn distance(key: u64, member: u64, capacity_milli: u32) -> f64 {
--- a/crates/decide/src/share.rs
+++ b/crates/decide/src/share.rs
@@ -1,36 +1,35 @@
-//! Shares of a replica's connections, split without talking per request.
+//! Shares of a replica's connections, assigned without communication per request.
 //!
-//! A replica allows a fixed number of connections. Every instance computes its
-//! share from a member list. What can go wrong is that two instances compute
-//! from different lists for a moment and together exceed the limit; one would
-//! notice by refused connections at the replica. The rule that prevents it:
-//! an instance shrinks as soon as it hears of a new member, and grows to the
-//! share of a list only once every member of that list has announced the very
-//! same list, for by then each of them has shrunk to it too.
+//! A replica allows a fixed number of connections, and every instance computes its share from a
+//! member list. If two instances used different lists for a moment, they could together exceed the
+//! limit, and the replica would refuse connections. The rule that prevents this: an instance
+//! shrinks its share as soon as it learns of a new member, and grows it to the share of a list only
+//! once every member of that list has announced the same list, since by then each of them has
+//! shrunk its share accordingly.
 //!
-//! A member leaves the list only when it has said that it let go of its
-//! connections, or when the platform no longer lists its instance. Silence is
-//! not enough: a paused process still holds its connections.
+//! A member leaves the list only when it has announced that it closed its connections, or when the
+//! platform no longer lists its instance. A missing answer is not sufficient: a paused process
+//! still holds its connections.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::rendezvous;
 
-/// The members among whom connections are split, by the hash of their identity.
+/// Members that share the connections, by the hash of their identity.
 pub type Members = BTreeSet<u64>;
 
-/// Hash of a member list, as announced to the others.
+/// Returns the hash of a member list that is announced to the other instances.
 #[must_use]
 pub fn digest(members: &Members) -> u64 {
     members.iter().fold(0x9e37_79b9, |acc, &m| rendezvous::weight(acc, m))
 }
 
-/// Share of a replica's `limit` connections that `member` has in `members`.
+/// Returns how many of a replica's `limit` connections `member` may hold.
 ///
-/// With no more members than connections each has the same whole share, and the
-/// remainder stays free as room for instances that start while others drain.
-/// With more members than connections, the first `limit` members in rendezvous
-/// order hold one each: the replica is in their slice.
+/// If there are no more members than connections, all have the same integer share; the remainder
+/// stays free for instances that start while others drain. If there are more members than
+/// connections, the first `limit` members in rendezvous order hold one each: the replica is in
+/// their slice.
 #[must_use]
 pub fn connections(members: &[u64], member: u64, replica: u64, limit: u32) -> u32 {
     if !members.contains(&member) {
@@ -43,26 +42,26 @@
     u32::from(rendezvous::is_in_top(replica, member, members, limit as usize))
 }
 
-/// One instance's view of the agreement on the member list.
+/// Agreement on the member list, as seen by one instance.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Agreement {
     own: u64,
-    /// Lists whose shares bound this instance; the last is the current one.
+    /// Lists that limit the share of this instance; the last one is current.
     lists: Vec<Members>,
-    /// Whether the first list was agreed on; a starting instance has none.
+    /// True if a list has been agreed on; false for a starting instance.
     has_agreed: bool,
     /// Last digest announced by each other member.
     announced: BTreeMap<u64, u64>,
 }
 
 impl Agreement {
-    /// State of an instance that has just started and holds nothing.
+    /// Creates the state of an instance that has just started and holds no connections.
     #[must_use]
     pub fn new(own: u64) -> Self {
         Self { own, lists: Vec::new(), has_agreed: false, announced: BTreeMap::new() }
     }
 
-    /// Takes in the current member list; returns whether it changed.
+    /// Sets the current member list; returns true if it changed.
     pub fn set_members(&mut self, members: &Members) -> bool {
         if self.lists.last() == Some(members) {
             return false;
@@ -73,9 +72,9 @@
         true
     }
 
-    /// Takes in the digest that another member announces for its own list.
+    /// Records the digest that another member announced for its list.
     ///
-    /// Returns whether the share of this instance may have grown.
+    /// Returns true if the share of this instance may have grown.
     pub fn heard(&mut self, member: u64, digest: u64) -> bool {
         if member == self.own {
             return false;
@@ -84,25 +83,25 @@
         self.try_agree()
     }
 
-    /// Digest of the current list, to be announced to all; 0 before there is one.
+    /// Returns the digest of the current list, to be announced; 0 if there is none yet.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.lists.last().map_or(0, digest)
     }
 
-    /// Whether all members of the current list have announced it.
+    /// Returns true if all members have announced the current list.
     #[must_use]
     pub fn is_agreed(&self) -> bool {
         self.has_agreed && self.lists.len() == 1
     }
 
-    /// Members of the current list, in order.
+    /// Returns the members of the current list in order.
     #[must_use]
     pub fn current(&self) -> Vec<u64> {
         self.lists.last().map(|m| m.iter().copied().collect()).unwrap_or_default()
     }
 
-    /// Lists that bound the share; none while this instance may hold nothing.
+    /// Returns the lists that limit the share; empty while this instance may hold no connections.
     #[must_use]
     pub fn bounds(&self) -> Vec<Vec<u64>> {
         if !self.has_agreed {
@@ -111,7 +110,7 @@
         self.lists.iter().map(|m| m.iter().copied().collect()).collect()
     }
 
-    /// Connections that this instance may hold to a replica now.
+    /// Returns the number of connections that this instance may hold to a replica now.
     #[must_use]
     pub fn share(&self, replica: u64, limit: u32) -> u32 {
         share_within(&self.bounds(), self.own, replica, limit)
@@ -119,11 +118,11 @@
 
     fn try_agree(&mut self) -> bool {
         let Some(current) = self.lists.last() else { return false };
-        let wanted = digest(current);
+        let expected = digest(current);
         let others = current.iter().filter(|&&m| m != self.own);
-        let everyone = current.contains(&self.own)
-            && others.into_iter().all(|m| self.announced.get(m) == Some(&wanted));
-        if !everyone || self.is_agreed() {
+        let all_announced = current.contains(&self.own)
+            && others.into_iter().all(|m| self.announced.get(m) == Some(&expected));
+        if !all_announced || self.is_agreed() {
             return false;
         }
         self.lists.drain(..self.lists.len() - 1);
@@ -132,7 +131,7 @@
     }
 }
 
-/// The least share over all `bounds`; 0 where there is none.
+/// Returns the minimum share over all `bounds`; 0 if there are none.
 #[must_use]
 pub fn share_within(bounds: &[Vec<u64>], own: u64, replica: u64, limit: u32) -> u32 {
     bounds.iter().map(|list| connections(list, own, replica, limit)).min().unwrap_or(0)
--- a/crates/decide/src/watchers.rs
+++ b/crates/decide/src/watchers.rs
@@ -1,69 +1,69 @@
-//! Which instances watch the store; the others hear from them.
+//! Selection of the instances that watch the store and distribute its changes.
 //!
-//! Each call of the store is paid for and its rates grow more slowly than the fleet. A few
-//! watchers, the same at every instance by rendezvous over the members, carry news to all
-//! others; their number depends on neither the instances nor the zones. In each zone without a
-//! watcher one instance, its fetcher, has the news from another zone at once, and the others
-//! of the zone from it, so that changes cross zones but once. Where the store turns a watcher
-//! away, the next one steps in as soon as the first one's record says so.
+//! Each call of the store costs money, and its rate limits grow more slowly than the fleet. A few
+//! watchers therefore distribute changes to all others. Each instance selects the same ones by
+//! rendezvous hashing; their number is independent of the number of instances and zones. In each
+//! zone without a watcher, one instance, the fetcher, gets changes from another zone at once and
+//! passes them on within its zone, so that changes cross zones only once. If the store refuses a
+//! watcher, the next instance takes over as soon as the record of the first one states that.
 
 use crate::rendezvous;
 
-/// Instances that watch. Two may be lost at once, such as one that has just died and one whose
-/// connection has gone silent.
-const WATCHERS: usize = 3;
-/// Instances that step in for watchers that are turned away, at the most.
+/// Number of watchers.
 ///
-/// Without a bound an outage went through the whole fleet: each one that stepped in was turned
-/// away too and went on trying, so that 195 instances made 2,500 calls in four seconds. Where a
-/// store serves two instances in three, this many fail to find one of them in one outage of
-/// three hundred thousand.
-const MOST_STAND_INS: usize = 9;
-/// Instances that find out when an outage is over.
-pub const FINDERS: u64 = (WATCHERS + MOST_STAND_INS) as u64;
+/// Two may fail at once, such as one that has just died and one whose connection is stalled.
+const WATCHER_COUNT: usize = 3;
+/// Maximum number of substitutes for watchers that the store refuses.
+///
+/// Without a limit, an outage affected the whole fleet: each substitute was refused as well and
+/// kept retrying, so that 195 instances made 2,500 calls in four seconds. With a store that serves
+/// two in three instances, this number fails to include a served one in one of 300,000 outages.
+const MAX_SUBSTITUTES: usize = 9;
+/// Number of instances that retry during an outage to detect its end.
+pub const FINDERS: u64 = (WATCHER_COUNT + MAX_SUBSTITUTES) as u64;
 /// Key under which instances are ranked.
-const RANKING: &str = "store-watchers";
+const RANKING_KEY: &str = "store-watchers";
 
-/// One instance that may watch.
+/// Instance that may become a watcher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its key in rendezvous order.
+    /// Its key in rendezvous hashing.
     pub key: u64,
     /// Key of its zone.
     pub zone: u64,
-    /// Whether the store answers it.
+    /// True if the store answers its requests.
     pub is_store_reached: bool,
 }
 
-/// Whether the instance `own` watches, among itself and `others`.
+/// Returns true if the instance `own` is a watcher, given all `others`.
 ///
-/// One that is turned away goes on trying, though others step in: its connection may only have
-/// been cut, and when nobody is reached somebody has to find out first.
+/// A refused watcher keeps retrying although others have taken over: only its connection may have
+/// failed, and if no instance reaches the store, one of them has to detect the end of the outage.
 #[must_use]
 pub fn is_watcher(own: Candidate, others: &[Candidate]) -> bool {
     let reached = others.iter().filter(|c| c.is_store_reached);
-    is_in_top(own, reached, WATCHERS) && is_finder(own, others)
+    is_in_top(own, reached, WATCHER_COUNT) && is_finder(own, others)
 }
 
-/// Whether the instance `own` is one of those that find out when an outage is over.
+/// Returns true if the instance `own` is one of those that detect the end of an outage.
 #[must_use]
 pub fn is_finder(own: Candidate, others: &[Candidate]) -> bool {
-    is_in_top(own, others.iter(), WATCHERS + MOST_STAND_INS)
+    is_in_top(own, others.iter(), WATCHER_COUNT + MAX_SUBSTITUTES)
 }
 
-/// Whether the instance `own` fetches for its zone what only other zones have.
+/// Returns true if the instance `own` is the fetcher of its zone.
 #[must_use]
 pub fn is_fetcher(own: Candidate, others: &[Candidate]) -> bool {
     is_in_top(own, others.iter().filter(|c| c.zone == own.zone), 1)
 }
 
-/// Rank of the instance with this key, higher ones first.
+/// Returns the rank of the instance with this key; higher ranks come first.
 #[must_use]
 pub fn rank(key: u64) -> u64 {
-    rendezvous::weight(rendezvous::hash(RANKING), key)
+    rendezvous::weight(rendezvous::hash(RANKING_KEY), key)
 }
 
 fn is_in_top<'c>(own: Candidate, others: impl Iterator<Item = &'c Candidate>, top: usize) -> bool {
     let keys: Vec<u64> = others.map(|c| c.key).chain([own.key]).collect();
-    rendezvous::is_in_top(rendezvous::hash(RANKING), own.key, &keys, top)
+    rendezvous::is_in_top(rendezvous::hash(RANKING_KEY), own.key, &keys, top)
 }
--- a/crates/decide/tests/model_share.rs
+++ b/crates/decide/tests/model_share.rs
@@ -1,7 +1,7 @@
-//! Model check of the hand-over of connection shares while members come and go.
+//! Model check of connection shares while members join and leave.
 //!
-//! Three instances split one replica's connections. One joins and one leaves at any
-//! moment; news and announcements arrive late, in any order between instances.
+//! Three instances share one replica's connections. One joins and one leaves at any time; member
+//! lists and announcements arrive late and in any order between instances.
 
 use eelgrasspier_decide::share::{self, Agreement, Members, connections};
 use pathfinding::prelude::bfs;
@@ -9,28 +9,28 @@
 const REPLICA: u64 = 99;
 const NAMES: [u64; 3] = [1, 2, 3];
 
-/// A rule that is left out.
+/// Rule that is disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mutant {
     None,
-    /// The share follows the own list at once, without agreement.
+    /// The share follows the instance's own list at once, without agreement.
     GrowsAtOnce,
-    /// An instance is taken off the list before it has let go.
+    /// An instance is removed from the list before it has closed its connections.
     RemovedWhileHolding,
-    /// The share of the last agreed list is kept though a longer list is known.
+    /// The share of the last agreed list is kept although a longer list is known.
     KeepsOldShare,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Instance {
     agreement: Agreement,
-    /// Every digest that it has announced, oldest first.
+    /// All digests that it has announced, oldest first.
     announced: Vec<u64>,
-    /// How many announcements of each other instance have arrived here.
-    heard: [usize; 3],
-    /// Last list that was agreed on, for the mutant that keeps it.
+    /// Number of announcements received from each other instance.
+    received: [usize; 3],
+    /// Last agreed list, for the mutant that keeps its share.
     agreed: Vec<u64>,
-    is_there: bool,
+    is_present: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -46,8 +46,8 @@
 }
 
 impl System {
-    /// The first two have agreed; the third is about to start.
-    fn start(limit: u32) -> Self {
+    /// Returns a state in which the first two instances agree and the third is about to start.
+    fn initial(limit: u32) -> Self {
         let pair = members(&NAMES[..2]);
         let instance = |i: usize| {
             let mut agreement = Agreement::new(NAMES[i]);
@@ -58,8 +58,8 @@
                 announced.push(share::digest(&pair));
             }
             let agreed = if i < 2 { NAMES[..2].to_vec() } else { Vec::new() };
-            let heard = if i < 2 { [1, 1, 0] } else { [0; 3] };
-            Instance { agreement, announced, heard, agreed, is_there: i < 2 }
+            let received = if i < 2 { [1, 1, 0] } else { [0; 3] };
+            Instance { agreement, announced, received, agreed, is_present: i < 2 }
         };
         let instances = [instance(0), instance(1), instance(2)];
         Self { instances, limit, has_joined: false, has_left: false }
@@ -67,7 +67,7 @@
 
     fn share(&self, i: usize, mutant: Mutant) -> u32 {
         let instance = &self.instances[i];
-        if !instance.is_there {
+        if !instance.is_present {
             return 0;
         }
         match mutant {
@@ -83,7 +83,7 @@
         (0..3).map(|i| self.share(i, mutant)).sum::<u32>() > self.limit
     }
 
-    /// The lists that an instance may come to see by now.
+    /// Returns the member lists that an instance may receive in the current state.
     fn lists(&self, mutant: Mutant) -> Vec<Members> {
         let mut lists = vec![members(&NAMES[..2])];
         if self.has_joined {
@@ -104,27 +104,27 @@
         next
     }
 
-    fn note_agreement(&mut self, i: usize) {
+    fn update_agreed(&mut self, i: usize) {
         let instance = &mut self.instances[i];
         if instance.agreement.is_agreed() {
             instance.agreed = instance.agreement.current();
         }
     }
 
-    fn learn(&mut self, i: usize, list: &Members) {
+    fn receive_list(&mut self, i: usize, list: &Members) {
         let instance = &mut self.instances[i];
         if instance.agreement.set_members(list) {
             instance.announced.push(instance.agreement.digest());
         }
-        self.note_agreement(i);
+        self.update_agreed(i);
     }
 
-    fn hear(&mut self, i: usize, from: usize) {
-        let number = self.instances[i].heard[from];
-        let digest = self.instances[from].announced[number];
-        self.instances[i].heard[from] += 1;
+    fn receive_announcement(&mut self, i: usize, from: usize) {
+        let index = self.instances[i].received[from];
+        let digest = self.instances[from].announced[index];
+        self.instances[i].received[from] += 1;
         self.instances[i].agreement.heard(NAMES[from], digest);
-        self.note_agreement(i);
+        self.update_agreed(i);
     }
 
     fn successors(&self, mutant: Mutant) -> Vec<Self> {
@@ -132,28 +132,28 @@
         if !self.has_joined {
             next.push(self.with(|s| {
                 s.has_joined = true;
-                s.instances[2].is_there = true;
+                s.instances[2].is_present = true;
             }));
         }
         if !self.has_left {
             next.push(self.with(|s| {
                 s.has_left = true;
-                s.instances[0].is_there = false;
+                s.instances[0].is_present = false;
             }));
         }
-        for i in (0..3).filter(|&i| self.instances[i].is_there) {
+        for i in (0..3).filter(|&i| self.instances[i].is_present) {
             for list in self.lists(mutant).iter().filter(|l| l.contains(&NAMES[i])) {
-                // A list never shrinks back to one before the join.
+                // A list never goes back to one before the join.
                 let is_older = self.instances[i].agreement.current().contains(&NAMES[2])
                     && !list.contains(&NAMES[2]);
-                let is_step = self.instances[i].announced.len() < MOST_LISTS;
-                if is_step && !is_older {
-                    next.push(self.with(|s| s.learn(i, list)));
+                let can_advance = self.instances[i].announced.len() < MAX_LISTS;
+                if can_advance && !is_older {
+                    next.push(self.with(|s| s.receive_list(i, list)));
                 }
             }
             for from in (0..3).filter(|&from| from != i) {
-                if self.instances[i].heard[from] < self.instances[from].announced.len() {
-                    next.push(self.with(|s| s.hear(i, from)));
+                if self.instances[i].received[from] < self.instances[from].announced.len() {
+                    next.push(self.with(|s| s.receive_announcement(i, from)));
                 }
             }
         }
@@ -161,44 +161,43 @@
     }
 }
 
-/// Lists that one instance goes through at the most.
-const MOST_LISTS: usize = 4;
+/// Maximum number of member lists per instance.
+const MAX_LISTS: usize = 4;
 
 fn counterexample(limit: u32, mutant: Mutant) -> Option<Vec<System>> {
-    let start = System::start(limit);
-    bfs(&start, |s| s.successors(mutant), |s| s.is_over_limit(mutant))
+    let initial = System::initial(limit);
+    bfs(&initial, |s| s.successors(mutant), |s| s.is_over_limit(mutant))
 }
 
 #[test]
-fn shares_never_exceed_a_replicas_connections() {
-    // Whole shares, remainders, and fewer connections than instances.
+fn shares_never_exceed_the_connection_limit() {
+    // Integer shares, remainders, and fewer connections than instances.
     for limit in [1, 2, 3, 4, 25] {
         assert_eq!(counterexample(limit, Mutant::None), None, "limit {limit}");
     }
 }
 
 #[test]
-fn every_rule_is_needed() {
+fn each_disabled_rule_has_a_counterexample() {
     for mutant in [Mutant::GrowsAtOnce, Mutant::RemovedWhileHolding, Mutant::KeepsOldShare] {
         let found = [1, 2, 3, 4, 25].iter().any(|&l| counterexample(l, mutant).is_some());
         assert!(found, "{mutant:?} breaks nothing");
     }
 }
 
-/// After all news has arrived everybody holds a share again: the rule that waits for
-/// agreement must not wait for ever.
+/// Guards against shares that stay reduced after all announcements have arrived.
 #[test]
-fn shares_grow_back_once_everybody_agrees() {
-    let mut system = System::start(4);
-    let joined = members(&NAMES);
-    system.instances[2].is_there = true;
+fn shares_grow_once_all_members_agree() {
+    let mut system = System::initial(4);
+    let all_members = members(&NAMES);
+    system.instances[2].is_present = true;
     for i in 0..3 {
-        system.learn(i, &joined);
+        system.receive_list(i, &all_members);
     }
     for i in 0..3 {
         for from in (0..3).filter(|&from| from != i) {
-            while system.instances[i].heard[from] < system.instances[from].announced.len() {
-                system.hear(i, from);
+            while system.instances[i].received[from] < system.instances[from].announced.len() {
+                system.receive_announcement(i, from);
             }
         }
     }
