--- a/crates/decide/src/directory.rs
+++ b/crates/decide/src/directory.rs
@@ -1,4 +1,4 @@
-//! Which replicas there are, as far as the store has said.
+//! Directory of the replicas, as listed by the store.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,82 +6,83 @@
 
 use crate::history::Edition;
 
-/// Time after the store's return in which entries that lapsed meanwhile come back.
+/// Time in milliseconds after an outage of the store for which lapsed entries are retained.
 ///
-/// Live replicas write again within about two seconds; the rest is the way of the news.
+/// Live replicas renew their entries within about two seconds; the rest allows for propagation.
 pub const COME_BACK_MS: u64 = 2_200;
 
-/// Difference in when a replica is warm that is nothing new, in milliseconds: reports tell the time
-/// that is left as of when they were written.
-const SAME_WARMTH_MS: u64 = 500;
+/// Change in a replica's warm-up end that is ignored, in milliseconds.
+///
+/// Reports state the remaining time as of when they were written, so the computed end varies
+/// slightly.
+const WARM_UP_TOLERANCE_MS: u64 = 500;
 
-/// A replica as the store lists it.
+/// Replica as listed by the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaEntry {
-    /// Identity of this start of the replica.
+    /// Identity of this run of the replica.
     pub id: Arc<str>,
-    /// Name under which the store lists it; a replica that starts again may keep it.
+    /// Name under which the store lists it, which may stay the same across restarts.
     pub name: Arc<str>,
-    /// Which of its reports this is.
+    /// Version number of the report in this entry.
     ///
-    /// The store may carry out a write that was given up for lost seconds later: the last write
-    /// of a crashed replica then overwrites the first one of its successor.
+    /// The store may apply a write several seconds after its writer gave it up for lost. The last
+    /// write of a crashed replica may then overwrite the first one of its successor.
     pub report: Edition,
     /// Service that it serves.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// Requests that it runs at a time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// True if it is draining.
     pub is_draining: bool,
-    /// How much longer it is slow after its start, in milliseconds.
+    /// Remaining warm-up time in milliseconds.
     pub cold_left_ms: u64,
 }
 
 impl ReplicaEntry {
-    /// Whether an entry differs from this one in nothing but the number of its report and the
-    /// time for which the replica is cold.
-    fn says_the_same(&self, other: &Self) -> bool {
+    /// Returns true if the entries differ at most in report number and remaining warm-up time.
+    fn is_equivalent(&self, other: &Self) -> bool {
         let (report, cold_left_ms) = (other.report, other.cold_left_ms);
         let renumbered = Self { report, cold_left_ms, ..self.clone() };
         renumbered == *other
     }
 }
 
-/// One change of the list.
+/// Change of the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntryChange {
-    /// The entry is as given.
+    /// The entry was created or changed.
     Set(ReplicaEntry),
-    /// The entry of this name is gone, or names no replica any more.
+    /// The entry of this name was removed, or does not describe a replica any more.
     Gone(Arc<str>),
 }
 
-/// The replicas by name, with those that lapsed during an outage kept for a while.
+/// Replicas by name, including entries that lapsed during an outage and are retained for a while.
 #[derive(Debug, Clone, Default)]
 pub struct Directory {
     entries: BTreeMap<Arc<str>, Arc<ReplicaEntry>>,
-    /// Until when replicas are cold, by name.
+    /// Warm-up end by name of the replica, in milliseconds.
     cold_until_ms: BTreeMap<Arc<str>, u64>,
-    /// Entries that are gone from the list but kept.
+    /// End of retention in milliseconds of each entry that the list lacks.
     lapsed: BTreeMap<Arc<str>, u64>,
-    /// Until when entries that vanish are taken for lapsed, not gone.
-    lenient_until_ms: u64,
+    /// Time in milliseconds until which removed entries are regarded as lapsed and retained.
+    retention_until_ms: u64,
 }
 
 impl Directory {
-    /// The store answers again after an outage.
+    /// Starts the retention of lapsed entries after an outage of the store.
     ///
-    /// During an outage replicas can't renew their entries, so the list loses live ones;
-    /// taking them for gone would empty whole services just when the store returns.
+    /// During an outage replicas can't renew their entries, so the list loses live ones. Removing
+    /// these would leave whole services without replicas just when the store is back.
     pub fn store_is_back(&mut self, now_ms: u64) {
-        self.lenient_until_ms = now_ms + COME_BACK_MS;
+        self.retention_until_ms = now_ms + COME_BACK_MS;
     }
 
-    /// Takes in the whole list; returns whether anything changed.
+    /// Replaces the whole list; returns true if anything changed.
     pub fn replace(&mut self, list: Vec<ReplicaEntry>, now_ms: u64) -> bool {
         let listed: std::collections::BTreeSet<Arc<str>> =
             list.iter().map(|e| Arc::clone(&e.name)).collect();
@@ -97,7 +98,7 @@
         has_changed
     }
 
-    /// Takes in one change; returns whether it changed anything.
+    /// Applies one change; returns true if it had an effect.
     pub fn apply(&mut self, change: EntryChange, now_ms: u64) -> bool {
         match change {
             EntryChange::Set(entry) => {
@@ -106,8 +107,8 @@
                     return false;
                 }
                 self.lapsed.remove(&entry.name);
-                let is_known = known.is_some_and(|k| k.says_the_same(&entry));
-                let is_known = !self.note_warmth(&entry, now_ms) && is_known;
+                let is_known = known.is_some_and(|k| k.is_equivalent(&entry));
+                let is_known = !self.update_warm_up(&entry, now_ms) && is_known;
                 self.entries.insert(Arc::clone(&entry.name), Arc::new(entry));
                 !is_known
             }
@@ -115,21 +116,21 @@
         }
     }
 
-    /// Notes until when a replica is cold; returns whether that is news.
+    /// Updates the warm-up end of a replica; returns true if it changed noticeably.
     ///
-    /// It may turn cold again at any moment. What a report says is some time old, so that the
-    /// replica is warm a little earlier.
-    fn note_warmth(&mut self, entry: &ReplicaEntry, now_ms: u64) -> bool {
+    /// A warm replica may become cold again at any time. Reports are some time old when they
+    /// arrive, so the computed end is slightly late.
+    fn update_warm_up(&mut self, entry: &ReplicaEntry, now_ms: u64) -> bool {
         let known_ms = self.cold_until_ms.get(&entry.name).map_or(now_ms, |&at| at.max(now_ms));
         let until_ms = now_ms + entry.cold_left_ms;
-        if known_ms.abs_diff(until_ms) < SAME_WARMTH_MS {
+        if known_ms.abs_diff(until_ms) < WARM_UP_TOLERANCE_MS {
             return false;
         }
         self.cold_until_ms.insert(Arc::clone(&entry.name), until_ms);
         true
     }
 
-    /// Until when a replica is cold, as its entry says; in the past where it is warm.
+    /// Returns the end of a replica's warm-up in milliseconds; in the past if it is warm.
     #[must_use]
     pub fn cold_until_ms(&self, entry: &ReplicaEntry) -> u64 {
         self.cold_until_ms.get(&entry.name).copied().unwrap_or(0)
@@ -137,21 +138,21 @@
 
     fn remove(&mut self, name: &Arc<str>, now_ms: u64) -> bool {
         let Some(entry) = self.entries.get(name) else { return false };
-        if now_ms < self.lenient_until_ms && !entry.is_draining {
-            self.lapsed.entry(Arc::clone(name)).or_insert(self.lenient_until_ms);
+        if now_ms < self.retention_until_ms && !entry.is_draining {
+            self.lapsed.entry(Arc::clone(name)).or_insert(self.retention_until_ms);
             return false;
         }
         self.lapsed.remove(name);
-        self.drop_entry(name);
+        self.remove_entry(name);
         true
     }
 
-    fn drop_entry(&mut self, name: &Arc<str>) {
+    fn remove_entry(&mut self, name: &Arc<str>) {
         self.entries.remove(name);
         self.cold_until_ms.remove(name);
     }
 
-    /// Drops lapsed entries that did not come back; returns whether there were any.
+    /// Removes lapsed entries whose retention has ended; returns true if there were any.
     pub fn expire(&mut self, now_ms: u64) -> bool {
         let due: Vec<Arc<str>> = self
             .lapsed
@@ -161,12 +162,12 @@
             .collect();
         for name in &due {
             self.lapsed.remove(name);
-            self.drop_entry(name);
+            self.remove_entry(name);
         }
         !due.is_empty()
     }
 
-    /// All entries, leaving ones included.
+    /// Returns all entries, including those of draining replicas.
     pub fn entries(&self) -> impl Iterator<Item = &Arc<ReplicaEntry>> {
         self.entries.values()
     }
--- a/crates/decide/src/transit.rs
+++ b/crates/decide/src/transit.rs
@@ -1,34 +1,38 @@
-//! How long a question was on its way, where the clocks of both ends differ.
+//! Estimate of the delay of a request on its way, without synchronized clocks.
 //!
-//! A question says how much time is left, counted from when it was sent. An instance that is
-//! frozen for a second and a half finds it on its connection when it wakes, and would hand
-//! replicas all of that time again: they worked for callers who had long been answered. The two
-//! clocks have nothing in common but their pace, so the shortest way of the questions of one
-//! connection is taken for the usual one, and what is beyond it for delay.
+//! A request states the remaining time as of when it was sent. An instance that was frozen for 1.5
+//! s reads it from the connection after it resumes, and would pass all of that time on to replicas;
+//! these then work for callers whose deadline has passed. Only the rates of the two clocks can be
+//! compared. The shortest delay seen on a connection therefore counts as the normal one, and
+//! anything beyond it as excess delay.
 
-/// Time in milliseconds in which the clocks may drift apart by one: a hundred parts in a million,
-/// more than servers' clocks do. A connection that is kept for hours would look ever later.
-const DRIFT_EVERY_MS: u64 = 10_000;
+/// Time in milliseconds in which the clocks may drift apart by one millisecond.
+///
+/// The rate of 100 ppm exceeds that of server clocks. Without this allowance, requests on a
+/// connection kept for hours would seem to be increasingly late.
+const DRIFT_INTERVAL_MS: u64 = 10_000;
 
-/// What is known of the ways of one connection.
+/// Delay baseline of one connection.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Transit {
-    /// Least difference of the clocks at both ends of a question's way, and as of when.
-    least: Option<(i64, u64)>,
+    /// Least difference of receive and send time in milliseconds, and when it was measured.
+    baseline: Option<(i64, u64)>,
 }
 
 impl Transit {
-    /// Milliseconds beyond the usual that a question was on its way, which was sent at `sent_ms`
-    /// of the sender's clock and read at `now_ms` of this one.
+    /// Returns the delay of a request beyond the normal one, in milliseconds.
+    ///
+    /// `sent_ms` is the time at which it was sent by the sender's clock, `now_ms` the time at which
+    /// it was read by the local clock.
     pub fn late_ms(&mut self, sent_ms: u64, now_ms: u64) -> u64 {
         let difference = signed(now_ms) - signed(sent_ms);
-        let usual = self.least.map_or(difference, |(least, since_ms)| {
-            least + signed(now_ms.saturating_sub(since_ms) / DRIFT_EVERY_MS)
+        let expected = self.baseline.map_or(difference, |(baseline, since_ms)| {
+            baseline + signed(now_ms.saturating_sub(since_ms) / DRIFT_INTERVAL_MS)
         });
-        if difference <= usual {
-            self.least = Some((difference, now_ms));
+        if difference <= expected {
+            self.baseline = Some((difference, now_ms));
         }
-        u64::try_from(difference - usual).unwrap_or(0)
+        u64::try_from(difference - expected).unwrap_or(0)
     }
 }
 
