--- a/crates/decide/src/gossip.rs
+++ b/crates/decide/src/gossip.rs
@@ -138,7 +138,7 @@
     /// Digest of the records in that bucket.
     #[prost(fixed64, tag = "7")]
     pub bucket_digest: u64,
-    /// Logical clock of the sender, which orders events over all processes.
+    /// Hybrid logical clock of the sender, which orders events over all processes.
     #[prost(uint64, tag = "8")]
     pub stamp: u64,
     /// Number of buckets into which the sender splits its records.
--- a/crates/decide/src/mirror.rs
+++ b/crates/decide/src/mirror.rs
@@ -120,7 +120,8 @@
             }
             self.enter_era(changes, now_ms);
         }
-        // A sender that withholds an object sends its tombstone of an earlier era as well.
+        // Tombstones of earlier eras come first: a sender that withholds an object sends its
+        // earlier tombstone together with the object.
         let is_earlier = |deleted: &&Deleted| deleted.era < changes.era;
         let (earlier, current): (Vec<_>, Vec<_>) = changes.deleted.iter().partition(is_earlier);
         for deleted in earlier {
--- a/crates/decide/src/watchers.rs
+++ b/crates/decide/src/watchers.rs
@@ -16,8 +16,8 @@
 /// Maximum number of substitutes for watchers that the store refuses.
 ///
 /// Without a limit, an outage affected the whole fleet: each substitute was refused as well and
-/// kept retrying, so that 195 instances made 2,500 calls in four seconds. With a store that serves
-/// two in three instances, this number fails to include a served one in one of 300,000 outages.
+/// kept retrying, so that 195 instances made 2,500 calls in four seconds. If the store serves two
+/// in three instances, none of this many is served in one of 300,000 outages.
 const MAX_SUBSTITUTES: usize = 9;
 /// Number of instances that retry during an outage to detect its end.
 pub const FINDERS: u64 = (WATCHER_COUNT + MAX_SUBSTITUTES) as u64;
