--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,8 +1,8 @@
-//! Every decision of the query tier as pure state machines.
+//! Decision logic of the query tier as pure state machines.
 //!
-//! Time, randomness and events come in as arguments; actions go out as values.
-//! Nothing here does I/O, reads a clock or starts a thread, so each decision is
-//! model-checked, tested in virtual time and reused unchanged by the daemon.
+//! Time, randomness and events are passed in as arguments; actions are returned as values. Nothing
+//! here does I/O, reads a clock or starts a thread, so each decision can be model-checked, tested
+//! in virtual time and used unchanged by the daemon.
 
 pub mod admission;
 pub mod allowance;
--- a/crates/decide/src/merge.rs
+++ b/crates/decide/src/merge.rs
@@ -1,4 +1,4 @@
-//! Merging parts to the greatest records.
+//! Merges parts into their greatest records.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,23 +8,23 @@
 
 type Record = [u8; RECORD_BYTES];
 
-/// Keeps the greatest records of the parts that were added; equal ones all count.
+/// Top-k selection over the records of the added parts; duplicates are kept.
 ///
-/// Memory is bounded by the records kept, not by the parts: a part is scanned once.
+/// Memory is bounded by the number of records kept, not by the parts; each part is scanned once.
 #[derive(Debug, Clone)]
 pub struct Greatest {
-    most: usize,
+    max_records: usize,
     kept: BinaryHeap<Reverse<Record>>,
 }
 
 impl Greatest {
-    /// Keeps up to `most` records.
+    /// Creates a selection of up to `max_records` records.
     #[must_use]
-    pub fn new(most: usize) -> Self {
-        Self { most, kept: BinaryHeap::new() }
+    pub fn new(max_records: usize) -> Self {
+        Self { max_records, kept: BinaryHeap::new() }
     }
 
-    /// Adds the records of a part; a remainder shorter than a record is none.
+    /// Adds the records of a part; ignores a remainder that is shorter than a record.
     pub fn add(&mut self, part: &[u8]) {
         let (records, _) = part.as_chunks::<RECORD_BYTES>();
         for record in records {
@@ -33,21 +33,21 @@
     }
 
     fn add_record(&mut self, record: &Record) {
-        if self.kept.len() < self.most {
+        if self.kept.len() < self.max_records {
             self.kept.push(Reverse(*record));
             return;
         }
-        if let Some(mut least) = self.kept.peek_mut()
-            && *record > least.0
+        if let Some(mut smallest) = self.kept.peek_mut()
+            && *record > smallest.0
         {
-            *least = Reverse(*record);
+            *smallest = Reverse(*record);
         }
     }
 
-    /// The records kept, greatest first, as one body.
+    /// Returns the selected records as one body, greatest first.
     #[must_use]
     pub fn into_bytes(self) -> Vec<u8> {
-        // Reverse order of Reverse: ascending by Reverse is descending by record.
+        // Ascending order of `Reverse` is descending order of records.
         let sorted = self.kept.into_sorted_vec();
         sorted.into_iter().flat_map(|Reverse(record)| record).collect()
     }
--- a/crates/decide/src/patience.rs
+++ b/crates/decide/src/patience.rs
@@ -1,80 +1,86 @@
-//! When an answer from many shards stops waiting for the missing ones.
+//! Decides how long a merged answer waits for missing shards.
 //!
-//! An answer is worth the square of the share of its shards, and a tenth of that or so
-//! once the target latency has passed. So all shards are waited for up to the target;
-//! then whatever is enough goes out; if it is not enough, the answer is late anyway and
-//! waits until it is, or until the caller's time is over.
+//! The value of an answer is the square of the fraction of shards it covers, and about a tenth of
+//! that after the target latency. So all shards are awaited until the target. After it, the answer
+//! is sent as soon as it covers enough shards. If it does not, it is late in any case and waits
+//! until it does or until the caller's time limit.
 
-/// Kept of the target latency for the way from and to the caller and for timers, which fire
-/// a little late, in milliseconds.
-const WAY_MS: u64 = 4;
-/// Processor time of a whole core between the end of waiting and the caller's having the
-/// answer, in microseconds: merging it, writing it, and what others' requests take just then.
+/// Part of the target latency reserved for the caller's round trip and late timers, in
+/// milliseconds.
+const ROUND_TRIP_MS: u64 = 4;
+/// CPU time between the end of waiting and the delivery of the answer, in microseconds of one core.
 ///
-/// By processor time, since an answer of a small instance would come just after its target with
-/// the time that a large one needs, and a large one would wait for fewer parts with a small one's.
-const WORK_US: u64 = 1_600;
-/// Part of the target latency that is kept besides, as a divisor: the last fortieth of it brings
-/// hardly a part more, and what is late for some milliseconds has waited for nothing.
-const SPARE_DIVISOR: u64 = 40;
-/// Part of the target latency that is kept at the most, as a divisor: the rest is for replicas.
-const MOST_MARGIN_DIVISOR: u64 = 3;
+/// It covers merging and writing the answer and concurrent work for other requests. It is given as
+/// CPU time: with a fixed duration, a small instance would answer just after the target with the
+/// margin of a large one, and a large one would wait for fewer parts with the margin of a small
+/// one.
+const DELIVERY_CPU_US: u64 = 1_600;
+/// Divisor of the target latency that gives an additional reserve.
+///
+/// Hardly any part arrives in the last fortieth of the target, and an answer that is a few
+/// milliseconds late gains nothing from having waited.
+const RESERVE_DIVISOR: u64 = 40;
+/// Divisor of the target latency that gives the maximum margin; the rest is for the replicas.
+const MAX_MARGIN_DIVISOR: u64 = 3;
 
-/// What an instance keeps of a target latency, in milliseconds.
+/// Returns the part of the target latency that an instance reserves for itself, in milliseconds.
 ///
-/// `capacity_milli` is its processor time, in thousandths of a core.
+/// `capacity_milli` is the CPU capacity of the instance, in thousandths of a core.
 #[must_use]
 pub fn margin_ms(target_latency_ms: u64, capacity_milli: u32) -> u64 {
-    let work_ms = WORK_US / u64::from(capacity_milli.max(1));
-    let spare_ms = target_latency_ms / SPARE_DIVISOR;
-    (WAY_MS + spare_ms + work_ms).min(target_latency_ms / MOST_MARGIN_DIVISOR)
+    let work_ms = DELIVERY_CPU_US / u64::from(capacity_milli.max(1));
+    let reserve_ms = target_latency_ms / RESERVE_DIVISOR;
+    (ROUND_TRIP_MS + reserve_ms + work_ms).min(target_latency_ms / MAX_MARGIN_DIVISOR)
 }
 
-/// Part of the target latency that must be left to a caller who comes again for his answer to
-/// be in time still, as a divisor.
-const LEAST_LEFT_DIVISOR: u64 = 2;
+/// Divisor of the target latency that gives the minimum time left for a retry to be in time.
+const MIN_REMAINING_DIVISOR: u64 = 2;
 
-/// Time in which an answer is wanted by a caller who has spent `spent_ms` on earlier attempts.
+/// Returns the time in which to answer a caller that spent `spent_ms` on earlier attempts.
 ///
-/// Once too little of the target latency is left, the answer is late for his first attempt
-/// whatever happens, and he is served like one who has just come: an answer with what is there
-/// at that moment would miss more shards and be no less late.
+/// If too little of the target latency is left, the answer is late for the first attempt in any
+/// case, and the retry gets the full target like a new request. An immediate partial answer would
+/// miss more shards and be just as late.
 #[must_use]
 pub fn time_ms(target_latency_ms: u64, spent_ms: u64) -> u64 {
-    let left_ms = target_latency_ms.saturating_sub(spent_ms);
-    if left_ms < target_latency_ms / LEAST_LEFT_DIVISOR { target_latency_ms } else { left_ms }
+    let remaining_ms = target_latency_ms.saturating_sub(spent_ms);
+    if remaining_ms < target_latency_ms / MIN_REMAINING_DIVISOR {
+        target_latency_ms
+    } else {
+        remaining_ms
+    }
 }
 
-/// State of one answer that is being gathered.
+/// State of one merged answer in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Gathering {
-    /// Shards of the route.
+    /// Number of shards of the route.
     pub total: usize,
-    /// Least shards for a success.
+    /// Minimum number of shards for a successful answer.
     pub least: usize,
-    /// Shards whose parts are in.
+    /// Number of shards whose parts have arrived.
     pub covered: usize,
-    /// Shards that can't come any more.
+    /// Number of shards whose parts can no longer arrive.
     pub failed: usize,
-    /// When the answer must be on its way to be in time, in milliseconds.
+    /// Time at which the answer must be sent to be in time, in milliseconds.
     pub target_at_ms: u64,
-    /// When the caller's time is over, in milliseconds.
+    /// Time at which the caller's time limit ends, in milliseconds.
     pub limit_at_ms: u64,
 }
 
-/// What to do next.
+/// Next step for an answer in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Answer with what is there.
+    /// Send the answer with the parts that have arrived.
     Answer,
-    /// Give up: a success is out of reach.
+    /// Fail: a successful answer is no longer possible.
     GiveUp,
-    /// Wait, and ask again at this time at the latest, in milliseconds.
+    /// Wait until this time at the latest, in milliseconds, and then decide again.
     WaitUntil(u64),
 }
 
 impl Gathering {
-    /// What to do at `now_ms`.
+    /// Returns the next step at `now_ms`.
     #[must_use]
     pub fn next(&self, now_ms: u64) -> Next {
         if self.covered + self.failed >= self.total {
--- a/crates/decide/src/prelude.rs
+++ b/crates/decide/src/prelude.rs
@@ -1,25 +1,26 @@
-//! The common types, for glob import by the other packages.
+//! Common types, for glob import by the other packages.
 
 pub use crate::text::{ReplicaSpec, Service, Services};
 pub use crate::verdict::{Refusal, RefusalReason, Verdict};
 
-/// Version of the operators' text, as the platform numbers it, with the platform's era:
-/// [`crate::history::Position::to_number`].
+/// Version of the operators' configuration, as numbered by the platform.
+///
+/// It includes the platform's era; see [`crate::history::Position::to_number`].
 pub type ConfigVersion = u64;
 
-/// Version of an index, as the backend servers number it.
+/// Version of an index, as numbered by the backend servers.
 pub type IndexVersion = u64;
 
 /// Number of a shard within the partition map of one index version.
 pub type ShardId = u32;
 
-/// Identity of an instance's process: the instance's name and its incarnation.
+/// Identity of an instance's process: name and incarnation.
 ///
-/// A restarted process has a higher incarnation, so that its predecessor's
-/// messages are never taken for its own.
+/// A restarted process has a higher incarnation, so that messages of its predecessor are never
+/// attributed to it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstanceId {
-    /// Name of the instance, as the platform lists it.
+    /// Name of the instance, as listed by the platform.
     pub name: String,
     /// Start time of the process in milliseconds since the epoch.
     pub incarnation: u64,
--- a/crates/decide/src/standing.rs
+++ b/crates/decide/src/standing.rs
@@ -1,86 +1,96 @@
-//! What one traffic thread knows of a replica: from its own requests, and told by others.
+//! Latency, load and failure state of one replica, as seen by one traffic thread.
+//!
+//! It combines the results of the thread's own requests with reports from other instances.
 
-/// Weight of a new latency in the running mean, as a divisor; each was confirmed by another,
-/// so that few make a replica slow.
-const BLEND: f64 = 2.0;
-/// Penalty of a failure in multiples of the usual latency; it doubles with each in a row.
-const FAILURE_COST: f64 = 4.0;
-/// Doublings after which the penalty stays the same.
-const MOST_DOUBLINGS: u32 = 5;
-/// Time in which a penalty halves, in milliseconds.
+/// Divisor of the weight of a new latency ratio in the EWMA.
 ///
-/// A replica that is down costs one hedge for each try: with this half-life a lost one is
-/// tried about once in two seconds, and one that is back is found within them.
+/// Each sample has been confirmed by an earlier one, so few samples are needed.
+const LATENCY_EWMA_DIVISOR: f64 = 2.0;
+/// Penalty of a failure, in multiples of the usual latency; doubles with each consecutive failure.
+const FAILURE_COST_FACTOR: f64 = 4.0;
+/// Number of doublings after which the penalty no longer grows.
+const MAX_DOUBLINGS: u32 = 5;
+/// Half-life of the failure penalty, in milliseconds.
+///
+/// Each attempt on a replica that is down costs one hedge. With this half-life, an unreachable
+/// replica is retried about once in two seconds, and one that has recovered is found within two
+/// seconds.
 const PENALTY_HALF_LIFE_MS: f64 = 400.0;
-/// Multiples of the expected latency after which a request without answer says "paused".
+/// Multiple of the expected latency after which an unanswered request suggests a paused replica.
 ///
-/// What is expected includes the queue, so that little more is no longer chance; a pause has to be
-/// noticed while most of it is still to come.
-const OVERDUE_RATIO: f64 = 1.8;
-/// Cost of an overdue request in multiples of the usual latency.
-const OVERDUE_COST: f64 = 6.0;
-/// Age in milliseconds at which a reported load counts for nothing any more.
-const REPORT_LIFE_MS: f64 = 250.0;
-/// Highest ratio that one answer counts with; a pause of 100 ms is 20 times the usual.
-const MOST_RATIO: f64 = 10.0;
-/// Time in which what is remembered of the ratio halves, in milliseconds.
+/// The expected latency includes the queue, so a small excess is already significant. A pause must
+/// be detected while most of it is still to come.
+const OVERDUE_LATENCY_FACTOR: f64 = 1.8;
+/// Cost of an overdue request, in multiples of the usual latency.
+const OVERDUE_COST_FACTOR: f64 = 6.0;
+/// Age at which a reported load no longer counts, in milliseconds.
+const MAX_REPORT_AGE_MS: f64 = 250.0;
+/// Upper bound on the latency ratio of one answer; a pause of 100 ms is 20 times the usual latency.
+const MAX_LATENCY_RATIO: f64 = 10.0;
+/// Half-life of the excess of the latency ratio over 1, in milliseconds.
 ///
-/// A replica that was slow once isn't chosen, so no answer of it shows that it is not slow
-/// any more: it would be shunned for good. At this half-life one that is five times slower
-/// is tried again after about a second and a half, at the price of a hedge.
+/// A replica that was slow once is not selected, so no answer can show that it has recovered;
+/// without decay it would be avoided forever. At this half-life a replica that is five times slower
+/// is retried after about 1.5 s, at the cost of a hedge.
 const RATIO_HALF_LIFE_MS: f64 = 800.0;
-/// Weight of one answer or refusal in the share of refusals, as a divisor: ten of them tell.
-const SHED_BLEND: f64 = 8.0;
-/// Cost of a refused request in multiples of the usual latency: the way there and back is
-/// short, but each one is paid from the budget for repeats.
-const SHED_COST: f64 = 4.0;
-/// The same once the budget is spent: the request is lost with what the others did for it, so
-/// that a queue as long as a target latency is better.
-const UNPAID_SHED_COST: f64 = 32.0;
-/// Time in which the share of refusals halves where nothing is sent, in milliseconds: one that
-/// refuses no more is found within a few seconds, as a lost one is.
+/// Divisor of the weight of one answer or refusal in the EWMA of the shed rate.
+///
+/// About ten samples are enough to change the rate noticeably.
+const SHED_EWMA_DIVISOR: f64 = 8.0;
+/// Cost of a shed request, in multiples of the usual latency.
+///
+/// The round trip is short, but each retry is paid from the retry budget.
+const SHED_COST_FACTOR: f64 = 4.0;
+/// Cost of a shed request once the retry budget is spent, in multiples of the usual latency.
+///
+/// The request then fails and the work of the other shards is wasted, so a queue as long as the
+/// target latency is preferable.
+const SHED_COST_FACTOR_BUDGET_SPENT: f64 = 32.0;
+/// Half-life of the shed rate while nothing is sent, in milliseconds.
+///
+/// A replica that no longer sheds is found within a few seconds, like one that was unreachable.
 const SHED_HALF_LIFE_MS: f64 = 1_000.0;
-/// Weight of a new request in the running mean of the work of one, as a divisor.
-const WORK_BLEND: f64 = 8.0;
+/// Divisor of the weight of a new request in the EWMA of the work per request.
+const WORK_EWMA_DIVISOR: f64 = 8.0;
 
-/// What another instance knows of a replica.
+/// State of a replica as reported by another instance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Told {
-    /// Requests that it runs or holds.
+    /// Number of requests that the replica runs or has queued.
     pub load: u32,
-    /// Its latency relative to the usual one.
+    /// Latency relative to the usual latency.
     pub ratio: f64,
 }
 
-/// An own request in progress.
+/// Request in progress that was sent by this thread.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Sent {
-    at_ms: u64,
-    /// Time that it was expected to take, in milliseconds, its wait included.
+struct PendingRequest {
+    sent_at_ms: u64,
+    /// Expected latency including queueing, in milliseconds.
     expected_ms: f64,
 }
 
-/// Conduct of one replica.
+/// Latency, load and failure state of one replica.
 #[derive(Debug, Clone)]
 pub struct Standing {
-    /// Latency relative to the usual one of the same requests.
+    /// EWMA of the latency relative to the usual latency of the same requests.
     ratio: f64,
-    ratio_ms: u64,
-    /// Ratio of the last answer that counts by itself, and when it came.
+    ratio_at_ms: u64,
+    /// Ratio of the last answer that counts as a separate sample, and its time of arrival.
     last_ratio: f64,
-    last_ms: u64,
-    in_progress: Vec<Sent>,
-    /// Work of one request in milliseconds, as a running mean of those sent.
+    last_ratio_at_ms: u64,
+    in_progress: Vec<PendingRequest>,
+    /// EWMA of the work of one sent request, in milliseconds.
     work_ms: f64,
-    /// Requests of others that the replica held, and when it said so.
-    others: f64,
-    others_ms: u64,
-    /// Share of requests that it refused of late, and as of when.
-    shed: f64,
-    shed_ms: u64,
-    failures_in_a_row: u32,
+    /// Requests from other senders at the replica, and the time of that report.
+    other_load: f64,
+    other_load_at_ms: u64,
+    /// Recent fraction of shed requests, and the time of its last update.
+    shed_rate: f64,
+    shed_rate_at_ms: u64,
+    consecutive_failures: u32,
     penalty: f64,
-    penalty_ms: u64,
+    penalty_at_ms: u64,
     is_replaced: bool,
 }
 
@@ -88,198 +98,203 @@
     fn default() -> Self {
         Self {
             ratio: 1.0,
-            ratio_ms: 0,
+            ratio_at_ms: 0,
             last_ratio: 1.0,
-            last_ms: 0,
+            last_ratio_at_ms: 0,
             in_progress: Vec::new(),
             work_ms: 0.0,
-            others: 0.0,
-            others_ms: 0,
-            shed: 0.0,
-            shed_ms: 0,
-            failures_in_a_row: 0,
+            other_load: 0.0,
+            other_load_at_ms: 0,
+            shed_rate: 0.0,
+            shed_rate_at_ms: 0,
+            consecutive_failures: 0,
             penalty: 0.0,
-            penalty_ms: 0,
+            penalty_at_ms: 0,
             is_replaced: false,
         }
     }
 }
 
 impl Standing {
-    /// Notes that a request was sent that is expected to take `expected_ms`.
+    /// Records a sent request with an expected latency of `expected_ms`.
     pub fn sent(&mut self, now_ms: u64, expected_ms: f64) {
-        self.in_progress.push(Sent { at_ms: now_ms, expected_ms });
+        self.in_progress.push(PendingRequest { sent_at_ms: now_ms, expected_ms });
     }
 
-    /// Notes that a request is sent that takes `work_ms` where nothing is ahead of it.
+    /// Records a sent request that takes `work_ms` if the queue is empty.
     ///
-    /// Returns how long it is expected to take at a usual replica with this one's queue.
+    /// Returns the expected latency in milliseconds, at usual speed and with this replica's queue.
     pub fn sent_work(&mut self, work_ms: f64, slots: u32, now_ms: u64) -> f64 {
         let expected_ms = work_ms + self.wait_ms(work_ms, slots, now_ms);
         self.sent(now_ms, expected_ms);
-        let known_ms = if self.work_ms > 0.0 { self.work_ms } else { work_ms };
-        self.work_ms = known_ms + (work_ms - known_ms) / WORK_BLEND;
+        let previous_ms = if self.work_ms > 0.0 { self.work_ms } else { work_ms };
+        self.work_ms = previous_ms + (work_ms - previous_ms) / WORK_EWMA_DIVISOR;
         expected_ms
     }
 
-    /// Notes that the request sent at `sent_ms` has ended, however it did.
-    pub fn ended(&mut self, sent_ms: u64) {
-        if let Some(i) = self.in_progress.iter().position(|s| s.at_ms == sent_ms) {
+    /// Records the end of the request sent at `sent_ms`, with any outcome.
+    pub fn ended(&mut self, sent_at_ms: u64) {
+        if let Some(i) = self.in_progress.iter().position(|s| s.sent_at_ms == sent_at_ms) {
             self.in_progress.swap_remove(i);
         }
     }
 
-    /// Notes an answer that took `took_ms`, where `expected_ms` was expected.
+    /// Records an answer that took `took_ms` where `expected_ms` was expected.
     pub fn answered(&mut self, took_ms: f64, expected_ms: f64, now_ms: u64) {
-        let ratio = (took_ms / expected_ms.max(0.1)).min(MOST_RATIO);
-        let known = self.ratio(now_ms);
-        let confirmed = self.confirm(ratio, took_ms, now_ms);
-        self.ratio = known + (confirmed - known) / BLEND;
-        self.ratio_ms = now_ms;
-        self.failures_in_a_row = 0;
-        self.note_shed(0.0, now_ms);
+        let ratio = (took_ms / expected_ms.max(0.1)).min(MAX_LATENCY_RATIO);
+        let previous = self.ratio(now_ms);
+        let confirmed = self.confirmed_ratio(ratio, took_ms, now_ms);
+        self.ratio = previous + (confirmed - previous) / LATENCY_EWMA_DIVISOR;
+        self.ratio_at_ms = now_ms;
+        self.consecutive_failures = 0;
+        self.record_shed_sample(0.0, now_ms);
     }
 
-    /// Notes that the replica refused a request without running it.
+    /// Records that the replica shed a request without running it.
     ///
-    /// That costs little time, and one that refuses some requests runs the others: it is made
-    /// use of where the others have queues, and not shunned like one that is lost.
+    /// Shedding costs little time, and a replica that sheds some requests still runs the others. It
+    /// is used when the other replicas have queues, and not avoided like an unreachable one.
     pub fn shed(&mut self, now_ms: u64) {
-        self.note_shed(1.0, now_ms);
+        self.record_shed_sample(1.0, now_ms);
     }
 
-    fn note_shed(&mut self, share: f64, now_ms: u64) {
-        let known = self.shed_share(now_ms);
-        self.shed = known + (share - known) / SHED_BLEND;
-        self.shed_ms = now_ms;
+    fn record_shed_sample(&mut self, sample: f64, now_ms: u64) {
+        let previous = self.shed_rate(now_ms);
+        self.shed_rate = previous + (sample - previous) / SHED_EWMA_DIVISOR;
+        self.shed_rate_at_ms = now_ms;
     }
 
-    fn shed_share(&self, now_ms: u64) -> f64 {
-        self.shed * 0.5_f64.powf(elapsed_ms(self.shed_ms, now_ms) / SHED_HALF_LIFE_MS)
+    fn shed_rate(&self, now_ms: u64) -> f64 {
+        self.shed_rate * 0.5_f64.powf(elapsed_ms(self.shed_rate_at_ms, now_ms) / SHED_HALF_LIFE_MS)
     }
 
-    /// As much of a ratio as an earlier answer confirms.
+    /// Returns the part of `ratio` that an earlier answer confirms.
     ///
-    /// Every replica pauses for a tenth of a second now and then, and answers that were in
-    /// progress together were held up by the same pause. A replica that is slow is so for an
-    /// answer that was sent after the last one had come, too. Without this one pause sent
-    /// first sends to other zones for a second: bytes between zones were a tenth more.
-    fn confirm(&mut self, ratio: f64, took_ms: f64, now_ms: u64) -> f64 {
-        let is_apart = elapsed_ms(self.last_ms, now_ms) >= took_ms;
-        if !is_apart && ratio >= self.last_ratio {
+    /// Every replica pauses for about 100 ms now and then, and one pause delays all answers that
+    /// were in progress together. A slow replica also delays an answer to a request that was sent
+    /// after the previous answer arrived. Without this check, a single pause moved first sends to
+    /// other zones for a second and increased cross-zone traffic by 10 %.
+    fn confirmed_ratio(&mut self, ratio: f64, took_ms: f64, now_ms: u64) -> f64 {
+        let is_separate_sample = elapsed_ms(self.last_ratio_at_ms, now_ms) >= took_ms;
+        if !is_separate_sample && ratio >= self.last_ratio {
             return self.ratio(now_ms);
         }
-        self.last_ms = now_ms;
+        self.last_ratio_at_ms = now_ms;
         ratio.min(std::mem::replace(&mut self.last_ratio, ratio))
     }
 
-    /// The ratio, as far as it still holds.
+    /// Returns the latency ratio, decayed towards 1 with its age.
     #[must_use]
     pub fn ratio(&self, now_ms: u64) -> f64 {
-        let kept = 0.5_f64.powf(elapsed_ms(self.ratio_ms, now_ms) / RATIO_HALF_LIFE_MS);
-        1.0 + (self.ratio - 1.0) * kept
+        let decay = 0.5_f64.powf(elapsed_ms(self.ratio_at_ms, now_ms) / RATIO_HALF_LIFE_MS);
+        1.0 + (self.ratio - 1.0) * decay
     }
 
-    /// Notes the requests that the replica says it runs or holds.
+    /// Records the number of running and queued requests that the replica reported.
     pub fn reported(&mut self, load: u32, now_ms: u64) {
-        self.others = (f64::from(load) - self.own()).max(0.0);
-        self.others_ms = now_ms;
+        self.other_load = (f64::from(load) - self.own_load()).max(0.0);
+        self.other_load_at_ms = now_ms;
     }
 
-    /// Notes what another instance knows of the replica.
+    /// Applies a report from another instance.
     ///
-    /// An instance that asks others for a shard sends its replicas nothing itself.
+    /// An instance that delegates a shard to another instance sends nothing to its replicas itself.
     pub fn told(&mut self, told: Told, now_ms: u64) {
         self.reported(told.load, now_ms);
         if told.ratio > self.ratio(now_ms) {
-            self.ratio = told.ratio.min(MOST_RATIO);
-            self.ratio_ms = now_ms;
+            self.ratio = told.ratio.min(MAX_LATENCY_RATIO);
+            self.ratio_at_ms = now_ms;
         }
     }
 
-    /// Notes a failure or a silence.
+    /// Records a failure or a timeout.
     pub fn failed(&mut self, now_ms: u64) {
-        let step = self.failures_in_a_row.min(MOST_DOUBLINGS);
-        self.failures_in_a_row += 1;
-        self.penalty = self.penalty(now_ms) + FAILURE_COST * f64::from(1_u32 << step);
-        self.penalty_ms = now_ms;
+        let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
+        self.consecutive_failures += 1;
+        self.penalty = self.penalty(now_ms) + FAILURE_COST_FACTOR * f64::from(1_u32 << doublings);
+        self.penalty_at_ms = now_ms;
     }
 
-    /// Notes that another replica answered at its address.
+    /// Records that another replica answered at the address of this one.
     ///
-    /// An id stands for one start of a replica, so this one has ended and never comes back,
-    /// whatever the list still says. Each further send would reach a replica of another
-    /// service and count there as a repeat: over a store outage of some seconds six instances
-    /// made 120 of them, more than the slack that is left for mistakes.
+    /// A replica id stands for one incarnation, so this replica has ended and never returns, even
+    /// if it is still listed. Each further send would reach a replica of another service and count
+    /// there as a retry. In a store outage of a few seconds, six instances made 120 such sends,
+    /// which exceeds the slack left for errors.
     pub fn replaced(&mut self) {
         self.is_replaced = true;
     }
 
-    /// Whether another replica has its address.
+    /// Returns true if another replica has taken over the address.
     #[must_use]
     pub fn is_replaced(&self) -> bool {
         self.is_replaced
     }
 
-    /// Failures since the last answer.
+    /// Returns the number of failures since the last answer.
     #[must_use]
-    pub fn failures_in_a_row(&self) -> u32 {
-        self.failures_in_a_row
+    pub fn consecutive_failures(&self) -> u32 {
+        self.consecutive_failures
     }
 
-    /// Own requests in progress.
+    /// Returns the number of this thread's requests in progress.
     #[must_use]
     pub fn outstanding(&self) -> usize {
         self.in_progress.len()
     }
 
-    /// Whether a request has been without an answer for much longer than usual.
+    /// Returns true if a request has been unanswered for much longer than expected.
     #[must_use]
     pub fn is_overdue(&self, now_ms: u64) -> bool {
-        self.in_progress
-            .iter()
-            .any(|s| elapsed_ms(s.at_ms, now_ms) > s.expected_ms * OVERDUE_RATIO + 2.0)
+        self.in_progress.iter().any(|s| {
+            elapsed_ms(s.sent_at_ms, now_ms) > s.expected_ms * OVERDUE_LATENCY_FACTOR + 2.0
+        })
     }
 
-    fn own(&self) -> f64 {
+    fn own_load(&self) -> f64 {
         f64::from(u32::try_from(self.in_progress.len()).unwrap_or(u32::MAX))
     }
 
-    /// Requests that the replica is believed to run or hold.
+    /// Returns the estimated number of requests that the replica runs or has queued.
     #[must_use]
     pub fn load(&self, now_ms: u64) -> f64 {
-        let fresh = (1.0 - elapsed_ms(self.others_ms, now_ms) / REPORT_LIFE_MS).max(0.0);
-        self.own() + self.others * fresh
+        let freshness =
+            (1.0 - elapsed_ms(self.other_load_at_ms, now_ms) / MAX_REPORT_AGE_MS).max(0.0);
+        self.own_load() + self.other_load * freshness
     }
 
-    /// Time until one more request would run at a usual replica with this one's queue, in
-    /// milliseconds; `usual_ms` is the work of one where none was sent from here.
+    /// Returns the time that one more request would wait in the queue, in milliseconds.
+    ///
+    /// Assumes a replica of usual speed. `usual_ms` is the work of one request, used if this thread
+    /// has sent none yet.
     #[must_use]
     pub fn wait_ms(&self, usual_ms: f64, slots: u32, now_ms: u64) -> f64 {
         let slots = f64::from(slots.max(1));
-        let ahead = (self.load(now_ms) + 1.0 - slots).max(0.0);
+        let queued = (self.load(now_ms) + 1.0 - slots).max(0.0);
         let work_ms = if self.work_ms > 0.0 { self.work_ms } else { usual_ms };
-        ahead / slots * work_ms
+        queued / slots * work_ms
     }
 
-    /// Time after which the replica is expected to answer one more request of `work_ms`, in
-    /// milliseconds: its queue and its speed, whatever failures there were.
+    /// Returns the expected latency of one more request of `work_ms`, in milliseconds.
+    ///
+    /// It accounts for queue and speed, but not for failures.
     #[must_use]
     pub fn answer_ms(&self, work_ms: f64, slots: u32, now_ms: u64) -> f64 {
         self.ratio(now_ms) * (work_ms + self.wait_ms(work_ms, slots, now_ms))
     }
 
-    /// What speaks against the replica besides its queue, in multiples of a usual answer.
+    /// Returns the cost of overdue, failed and shed requests, in multiples of the usual latency.
     ///
-    /// `spent` is the part of the budget for repeats that is spent, from 0 to 1.
+    /// `spent` is the fraction of the retry budget that is spent, from 0 to 1.
     #[must_use]
     pub fn doubt(&self, spent: f64, now_ms: u64) -> f64 {
-        let overdue = if self.is_overdue(now_ms) { OVERDUE_COST } else { 0.0 };
-        let shed_cost = SHED_COST + (UNPAID_SHED_COST - SHED_COST) * spent;
-        overdue + self.penalty(now_ms) + shed_cost * self.shed_share(now_ms)
+        let overdue = if self.is_overdue(now_ms) { OVERDUE_COST_FACTOR } else { 0.0 };
+        let shed_cost =
+            SHED_COST_FACTOR + (SHED_COST_FACTOR_BUDGET_SPENT - SHED_COST_FACTOR) * spent;
+        overdue + self.penalty(now_ms) + shed_cost * self.shed_rate(now_ms)
     }
 
-    /// Expected latency of one more request, in multiples of the usual one.
+    /// Returns the expected cost of one more request, in multiples of the usual latency.
     #[must_use]
     pub fn cost(&self, slots: u32, now_ms: u64) -> f64 {
         let queue = self.load(now_ms) / f64::from(slots.max(1));
@@ -287,7 +302,7 @@
     }
 
     fn penalty(&self, now_ms: u64) -> f64 {
-        self.penalty * 0.5_f64.powf(elapsed_ms(self.penalty_ms, now_ms) / PENALTY_HALF_LIFE_MS)
+        self.penalty * 0.5_f64.powf(elapsed_ms(self.penalty_at_ms, now_ms) / PENALTY_HALF_LIFE_MS)
     }
 }
 
