--- a/crates/decide/src/losses.rs
+++ b/crates/decide/src/losses.rs
@@ -1,99 +1,102 @@
-//! Connections that were lost with requests in progress: which of these may have ended a backend server.
+//! Lost connections with requests in progress, and whether their backend server crashed.
 //!
-//! A lost connection has many causes: a server resets those beyond its cap, ends an answer
-//! midway, or its process ends. Only the last speaks against a request, and only one more
-//! connection shows it: nothing listens any more. What was lost meanwhile waits for that.
+//! A connection may be lost for many reasons: the server resets those beyond its limit, aborts an
+//! answer midway, or its process ends. Only the last is evidence against a request, and only
+//! another connection attempt shows it, because nothing listens any more. Losses in the meantime
+//! wait for the result.
 
 use std::collections::HashMap;
 
 use crate::fingerprint::Fingerprint;
 
-/// Time for which what was found out of a server holds for other losses, in milliseconds: the
-/// connections of a process that has ended are lost within a few milliseconds of each other,
-/// and it takes longer to start again.
-const FINDING_LIFE_MS: u64 = 500;
-/// Requests that wait for what is found out of one server; it runs a few at a time.
-const MOST_WAITING: usize = 32;
+/// Time for which the state found for a server applies to further losses, in milliseconds.
+///
+/// The connections of a crashed process are lost within a few milliseconds of each other, and a
+/// restart takes longer than this.
+const STATE_RETENTION_MS: u64 = 500;
+/// Maximum number of requests that wait for the state of one server; it runs only a few at a time.
+const MAX_WAITING: usize = 32;
 
-/// One send of a request that was lost and that nobody has answered.
+/// Lost send of a request that has no answer yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lost {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Mark of the send.
+    /// Id of the send.
     pub send: u32,
-    /// Whether the request was being tried on the server by itself.
+    /// True if the send was a trial on this one replica.
     pub is_tried: bool,
 }
 
-/// A send that has ended its server, or was lost with it.
+/// Send that crashed its server or was lost in the crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ended {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Mark of the send.
+    /// Id of the send.
     pub send: u32,
-    /// Whether the request was tried by itself and nothing else that is unanswered was lost.
+    /// True if the send was a trial and no other unanswered request was lost in the crash.
     pub is_alone: bool,
 }
 
-/// What is to be done about one more loss.
+/// State of the server at one more loss.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Known {
-    /// It must be found out whether the server still listens.
+    /// Unknown; the caller must check whether the server still listens.
     Unknown,
-    /// That is being found out.
+    /// A check is in progress.
     Awaited,
-    /// The server lives.
+    /// The server is running.
     Lives,
-    /// The server has ended.
+    /// The server has crashed.
     HasEnded(Ended),
 }
 
 #[derive(Debug, Clone)]
-struct AtServer {
+struct ServerLosses {
     at_ms: u64,
     waiting: Vec<Lost>,
-    /// Whether it has ended, once that is known.
+    /// True if the server has crashed, false if it is running, `None` if not known yet.
     has_ended: Option<bool>,
 }
 
-/// Backend servers that have just lost requests.
+/// Backend servers with recently lost connections.
 #[derive(Debug, Clone, Default)]
 pub struct Losses {
-    by_server: HashMap<u64, AtServer>,
+    by_server: HashMap<u64, ServerLosses>,
 }
 
 impl Losses {
-    /// Notes one more loss.
+    /// Records a loss and returns the state of its server.
     pub fn add(&mut self, server: u64, lost: Lost, now_ms: u64) -> Known {
-        self.by_server.retain(|_, s| s.has_ended.is_none() || now_ms < s.at_ms + FINDING_LIFE_MS);
-        let Some(known) = self.by_server.get_mut(&server) else {
-            let first = AtServer { at_ms: now_ms, waiting: vec![lost], has_ended: None };
+        self.by_server
+            .retain(|_, s| s.has_ended.is_none() || now_ms < s.at_ms + STATE_RETENTION_MS);
+        let Some(server_losses) = self.by_server.get_mut(&server) else {
+            let first = ServerLosses { at_ms: now_ms, waiting: vec![lost], has_ended: None };
             self.by_server.insert(server, first);
             return Known::Unknown;
         };
-        match known.has_ended {
-            // Something else was lost with it, and found to have been.
+        match server_losses.has_ended {
+            // Another send was lost in the same crash.
             Some(true) => {
                 let Lost { request, send, .. } = lost;
                 Known::HasEnded(Ended { request, send, is_alone: false })
             }
             Some(false) => Known::Lives,
             None => {
-                if known.waiting.len() < MOST_WAITING {
-                    known.waiting.push(lost);
+                if server_losses.waiting.len() < MAX_WAITING {
+                    server_losses.waiting.push(lost);
                 }
                 Known::Awaited
             }
         }
     }
 
-    /// Notes whether a server has ended; returns the sends that were lost with it if it has.
+    /// Records the state of a server; returns the sends lost with it if it has crashed.
     pub fn resolve(&mut self, server: u64, has_ended: bool, now_ms: u64) -> Vec<Ended> {
-        let Some(known) = self.by_server.get_mut(&server) else { return Vec::new() };
-        (known.has_ended, known.at_ms) = (Some(has_ended), now_ms);
-        let mut lost = std::mem::take(&mut known.waiting);
+        let Some(server_losses) = self.by_server.get_mut(&server) else { return Vec::new() };
+        (server_losses.has_ended, server_losses.at_ms) = (Some(has_ended), now_ms);
+        let mut lost = std::mem::take(&mut server_losses.waiting);
         lost.sort_by_key(|l| (l.request, !l.is_tried));
         lost.dedup_by_key(|l| l.request);
         lost.retain(|_| has_ended);
@@ -106,17 +109,17 @@
         lost.into_iter().map(ended).collect()
     }
 
-    /// Notes that a request was answered elsewhere: its losses say nothing.
+    /// Records that another server answered the request, so its losses are no evidence.
     pub fn answered(&mut self, request: Fingerprint) {
         for server in self.by_server.values_mut() {
             server.waiting.retain(|l| l.request != request);
         }
     }
 
-    /// Servers that have lost a request and of which it is not known yet whether they ended.
+    /// Returns the number of servers of unknown state that have lost the request.
     #[must_use]
     pub fn awaited(&self, request: Fingerprint) -> usize {
-        let is_lost = |s: &&AtServer| s.waiting.iter().any(|l| l.request == request);
+        let is_lost = |s: &&ServerLosses| s.waiting.iter().any(|l| l.request == request);
         self.by_server.values().filter(is_lost).count()
     }
 }
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -1,15 +1,15 @@
-//! Requests that end the replicas which run them, and when they are not sent any more.
+//! Quarantine of requests that crash the replicas that run them.
 //!
-//! A request that ends a replica looks like one that was in progress when its replica ended for
-//! another reason, and to take one for the other is wrong both ways: the first takes down a
-//! whole index when its caller comes again, the second is refused for nothing. Three facts tell
-//! them apart. A replica that answers a request, in whatever way, clears it for good. One
-//! whose replicas have ended twice, and that nobody has answered, is tried on one replica at a
-//! time, at the price of one more exchange for a bystander. Only where that replica ends
-//! too, with nothing else unanswered on it, twice, the request is refused for some minutes.
+//! A request that crashes a replica looks like one that was in progress when its replica crashed
+//! for another reason. Confusing them is harmful either way: the first takes down a whole index
+//! when its caller retries, the second is refused without cause. Three rules distinguish them. An
+//! answer of any kind clears the request. A request without an answer whose replicas
+//! crashed twice is tried on one replica at a time, which costs an innocent request one extra
+//! exchange. It is refused for some minutes only if, twice, a replica crashes in such a trial with
+//! no other unanswered request on it.
 //!
-//! Instances tell each other [`Report`]s, which are merged: in whatever order and how often they
-//! come, all instances come to the same.
+//! Instances exchange [`Report`]s, which are merged: all instances reach the same state, in
+//! whatever order and however often the reports arrive.
 
 use std::collections::HashMap;
 
@@ -17,97 +17,109 @@
 use crate::losses::Ended;
 use crate::rendezvous;
 
-/// Replicas that must have ended before a request is tried on one at a time.
+/// Number of replica crashes after which a request is tried on one replica at a time.
 ///
-/// One ends now and then; that two do under the same request, unanswered, is rare, and a request
-/// to many shards would end dozens with the second sends that follow.
-const SUSPECT_FROM: usize = 2;
-/// Trials by itself that must have ended their replica before a request is refused. A single
-/// one may be a coincidence: another request ended it in the same milliseconds.
-const LEAST_ALONE: usize = 2;
-/// Ends under one request that are remembered and told, at four bytes each; more prove no more.
-const MOST_MARKS: usize = 16;
-/// Time for which a request is refused at first, in milliseconds: as long as it takes operators
-/// to notice, and one replica for each such time is what the next trial costs.
+/// Single crashes happen. Two under the same unanswered request are rare, and a request to many
+/// shards would crash dozens of replicas with the hedges and retries that follow.
+const MIN_CRASHES_FOR_SUSPECT: usize = 2;
+/// Number of isolated trials that must crash their replica before a request is refused.
+///
+/// A single one may be a coincidence: another request crashed the replica in the same milliseconds.
+const MIN_CRASHES_IN_ISOLATION: usize = 2;
+/// Maximum number of crashes per request that are stored and reported, at four bytes each.
+///
+/// More of them add no evidence.
+const MAX_CRASHES_PER_REQUEST: usize = 16;
+/// Duration of the first refusal, in milliseconds.
+///
+/// Operators need about this long to notice; each next trial after it costs one replica.
 const FIRST_REFUSAL_MS: u64 = 300_000;
-/// Doublings of that time, where each next trial ends one more replica: up to 80 minutes.
-const MOST_DOUBLINGS: u32 = 4;
-/// Time for which a request that is tried one at a time is remembered, in milliseconds; as long
-/// as a refusal, which follows if it comes again.
-const SUSPECT_LIFE_MS: u64 = FIRST_REFUSAL_MS;
-/// Longest time for which anything is remembered, in milliseconds, whatever a report says.
-const MOST_LEFT_MS: u64 = (FIRST_REFUSAL_MS << MOST_DOUBLINGS) + SUSPECT_LIFE_MS;
-/// Time for which a single end is remembered, in milliseconds: callers try again within seconds.
-const SINGLE_LIFE_MS: u64 = 30_000;
-/// Time for which reports on a request that was cleared are passed over, in milliseconds: gossip
-/// has brought the last of them to everybody by then.
-const CLEARED_LIFE_MS: u64 = 5_000;
-/// Requests that are remembered; at about 200 bytes each 50 KB. Those that are refused stay
-/// longest, and only so many are refused at a time.
-const MOST_REQUESTS: usize = 256;
-/// Difference from which the time of a refusal counts as news, in milliseconds; less is the time
-/// that a report was on its way.
-const NEWS_MS: u64 = 2_000;
+/// Maximum number of doublings of the refusal, one for each further crash: up to 80 minutes.
+const MAX_REFUSAL_DOUBLINGS: u32 = 4;
+/// Retention of a request that is tried on one replica at a time, in milliseconds.
+///
+/// As long as a refusal, which follows if the request is sent again.
+const SUSPECT_RETENTION_MS: u64 = FIRST_REFUSAL_MS;
+/// Maximum retention of any record, in milliseconds, regardless of the value in a report.
+const MAX_RETENTION_MS: u64 = (FIRST_REFUSAL_MS << MAX_REFUSAL_DOUBLINGS) + SUSPECT_RETENTION_MS;
+/// Retention of a single crash, in milliseconds; callers retry within seconds.
+const SINGLE_CRASH_RETENTION_MS: u64 = 30_000;
+/// Time for which reports on a cleared request are ignored, in milliseconds.
+///
+/// By then gossip has delivered the last of them to all instances.
+const CLEARED_RETENTION_MS: u64 = 5_000;
+/// Maximum number of records; at about 200 bytes each, 50 KB.
+///
+/// Refused requests are evicted last, so this also limits how many are refused at a time.
+const MAX_REQUESTS: usize = 256;
+/// Minimum extension of a refusal that counts as a change, in milliseconds.
+///
+/// Smaller differences come from the delivery time of the report.
+const MIN_REFUSAL_EXTENSION_MS: u64 = 2_000;
 
-/// How a request is treated.
+/// Treatment of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Treatment {
-    /// Nothing speaks against it.
+    /// Sent normally; there is not enough evidence against it.
     Usual,
-    /// It goes to one replica at a time until one answers.
+    /// Sent to one replica at a time until one answers.
     OneByOne,
-    /// It is refused for so long, in milliseconds.
+    /// Refused for this time, in milliseconds.
     Refused(u64),
 }
 
-/// What an instance knows of one request, as it travels.
+/// State of one request as exchanged between instances.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Report {
-    /// The request's fingerprint.
+    /// Fingerprint of the request.
     #[prost(fixed64, tag = "1")]
     pub fingerprint: u64,
-    /// Marks of the sends whose replica ended. Not of the replicas: one that has started again
-    /// may be ended again, under the same name, and that counts.
+    /// Ids of the sends whose replica crashed.
+    ///
+    /// Replica ids would not do: a restarted replica may crash again under the same name, and that
+    /// counts as further evidence.
     #[prost(fixed32, repeated, tag = "2")]
     pub ended: Vec<u32>,
-    /// Of them, those by which it was tried by itself.
+    /// Subset of `ended` that were isolated trials.
     #[prost(fixed32, repeated, tag = "3")]
     pub ended_alone: Vec<u32>,
-    /// For how long it is still refused, in milliseconds; 0 where it is not.
+    /// Remaining time of the refusal, in milliseconds; 0 if the request is not refused.
     #[prost(uint64, tag = "4")]
     pub refused_ms: u64,
-    /// How often it came to be refused.
+    /// Number of refusals so far.
     #[prost(uint32, tag = "5")]
     pub refusals: u32,
-    /// Whether a replica has answered it.
+    /// True if a replica has answered the request.
     #[prost(bool, tag = "6")]
     pub is_cleared: bool,
-    /// For how long this is still remembered, in milliseconds. Without it two instances that
-    /// forget at different moments would tell each other for ever.
+    /// Remaining retention of this state, in milliseconds.
+    ///
+    /// Without it, two instances that expire the state at different times would send it to each
+    /// other forever.
     #[prost(uint64, tag = "7")]
     pub left_ms: u64,
 }
 
-/// What new evidence leads to.
+/// Effect of new evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Finding {
-    /// Nothing that was not so before.
+    /// No change.
     Unchanged,
-    /// More is known, and the request is treated as before.
+    /// Evidence was added, but the treatment is the same.
     Noted,
-    /// It is tried on one replica at a time from now on.
+    /// The request is tried on one replica at a time from now on.
     Suspected,
-    /// It is refused from now on.
+    /// The request is refused from now on.
     Refused,
-    /// Nothing speaks against it any more.
+    /// The request was cleared.
     Cleared,
 }
 
 impl Report {
-    /// Whether the request is not treated as usual.
+    /// Returns true if the request is not sent normally.
     #[must_use]
     pub fn is_suspect(&self) -> bool {
-        !self.is_cleared && (self.refused_ms > 0 || self.ended.len() >= SUSPECT_FROM)
+        !self.is_cleared && (self.refused_ms > 0 || self.ended.len() >= MIN_CRASHES_FOR_SUSPECT)
     }
 }
 
@@ -115,13 +127,13 @@
 struct Record {
     ended: Vec<u32>,
     ended_alone: Vec<u32>,
-    /// When it is forgotten.
-    over_at_ms: u64,
+    /// Time at which the record expires.
+    expires_at_ms: u64,
     refused_until_ms: u64,
     refusals: u32,
-    /// When it was cleared, if it was.
+    /// Time at which the request was cleared.
     cleared_ms: Option<u64>,
-    /// Until when others wait for the end of a trial.
+    /// End of the period in which no other trial may begin.
     trial_until_ms: u64,
 }
 
@@ -131,11 +143,11 @@
     }
 
     fn is_suspect(&self) -> bool {
-        !self.is_cleared() && self.ended.len() >= SUSPECT_FROM
+        !self.is_cleared() && self.ended.len() >= MIN_CRASHES_FOR_SUSPECT
     }
 
     fn treatment(&self, now_ms: u64) -> Treatment {
-        if self.is_cleared() || now_ms >= self.over_at_ms {
+        if self.is_cleared() || now_ms >= self.expires_at_ms {
             Treatment::Usual
         } else if now_ms < self.refused_until_ms {
             Treatment::Refused(self.refused_until_ms - now_ms)
@@ -146,17 +158,20 @@
         }
     }
 
-    /// Has it remembered for as long as fresh evidence is.
-    fn renew(&mut self, now_ms: u64) {
-        let life_ms = if self.is_suspect() { SUSPECT_LIFE_MS } else { SINGLE_LIFE_MS };
-        self.over_at_ms = self.over_at_ms.max(now_ms.max(self.refused_until_ms) + life_ms);
+    /// Extends the retention to that of new evidence.
+    fn extend_retention(&mut self, now_ms: u64) {
+        let retention_ms =
+            if self.is_suspect() { SUSPECT_RETENTION_MS } else { SINGLE_CRASH_RETENTION_MS };
+        self.expires_at_ms =
+            self.expires_at_ms.max(now_ms.max(self.refused_until_ms) + retention_ms);
     }
 
-    /// Refuses it where the evidence is enough; `is_again` if a trial has just shown it.
-    fn judge(&mut self, is_again: bool, now_ms: u64) {
-        let is_proven = self.is_suspect() && self.ended_alone.len() >= LEAST_ALONE && is_again;
+    /// Starts a refusal if the evidence suffices; `is_again` if a trial has just added to it.
+    fn refuse_if_proven(&mut self, is_repeated: bool, now_ms: u64) {
+        let is_proven =
+            self.is_suspect() && self.ended_alone.len() >= MIN_CRASHES_IN_ISOLATION && is_repeated;
         if is_proven && now_ms >= self.refused_until_ms {
-            let doublings = self.refusals.min(MOST_DOUBLINGS);
+            let doublings = self.refusals.min(MAX_REFUSAL_DOUBLINGS);
             self.refused_until_ms = now_ms + (FIRST_REFUSAL_MS << doublings);
             self.refusals += 1;
         }
@@ -170,42 +185,42 @@
             refused_ms: self.refused_until_ms.saturating_sub(now_ms),
             refusals: self.refusals,
             is_cleared: self.is_cleared(),
-            left_ms: self.over_at_ms.saturating_sub(now_ms),
+            left_ms: self.expires_at_ms.saturating_sub(now_ms),
         }
     }
 }
 
-/// All that one instance knows of such requests.
+/// Requests under suspicion, as known to one instance.
 #[derive(Debug, Clone, Default)]
 pub struct Quarantine {
     records: HashMap<Fingerprint, Record>,
 }
 
 impl Quarantine {
-    /// How a request is treated now.
+    /// Returns the current treatment of a request.
     #[must_use]
     pub fn treatment(&self, fingerprint: Fingerprint, now_ms: u64) -> Treatment {
         let record = self.records.get(&fingerprint);
         record.map_or(Treatment::Usual, |r| r.treatment(now_ms))
     }
 
-    /// Notes that a replica has ended while it ran a request that nobody had answered.
+    /// Records that a replica crashed while it ran a request that had no answer yet.
     pub fn note_ended(&mut self, ended: Ended, now_ms: u64) -> Finding {
         let Ended { request, send, is_alone } = ended;
         self.update(request, now_ms, |record| {
             if record.is_cleared() {
-                // An answer after all, and then an end: the evidence starts anew.
+                // A crash after an answer: start over with new evidence.
                 *record = Record::default();
             }
-            let is_new = add(&mut record.ended, send);
-            let is_new_alone = is_alone && add(&mut record.ended_alone, send);
-            record.judge(is_new_alone, now_ms);
-            record.renew(now_ms);
+            let is_new = add_send(&mut record.ended, send);
+            let is_new_alone = is_alone && add_send(&mut record.ended_alone, send);
+            record.refuse_if_proven(is_new_alone, now_ms);
+            record.extend_retention(now_ms);
             is_new || is_new_alone
         })
     }
 
-    /// Notes that a replica has answered a request: it does not end those that run it.
+    /// Records that a replica answered a request, which shows that it does not crash replicas.
     pub fn note_answered(&mut self, fingerprint: Fingerprint, now_ms: u64) -> Finding {
         match self.records.get(&fingerprint) {
             None => Finding::Unchanged,
@@ -213,7 +228,7 @@
         }
     }
 
-    /// Takes in what another instance knows.
+    /// Merges a report from another instance.
     pub fn merge(&mut self, report: &Report, now_ms: u64) -> Finding {
         let fingerprint = Fingerprint(report.fingerprint);
         let is_known = self.records.contains_key(&fingerprint);
@@ -229,40 +244,42 @@
         self.update(fingerprint, now_ms, |record| merge_into(record, report, now_ms))
     }
 
-    /// Whether a request that is tried one at a time may be tried now; then others wait for the
-    /// end of it, for `most_ms` at the most.
-    pub fn begin_trial(&mut self, fingerprint: Fingerprint, now_ms: u64, most_ms: u64) -> bool {
+    /// Begins a trial and returns true, or returns false if another trial is in progress.
+    ///
+    /// Other trials of the request then wait for the end of this one, at most for `most_ms`.
+    pub fn begin_trial(&mut self, fingerprint: Fingerprint, now_ms: u64, timeout_ms: u64) -> bool {
         let Some(record) = self.records.get_mut(&fingerprint) else { return true };
-        let is_free = now_ms >= record.trial_until_ms;
-        if is_free {
-            record.trial_until_ms = now_ms + most_ms;
+        let may_begin = now_ms >= record.trial_until_ms;
+        if may_begin {
+            record.trial_until_ms = now_ms + timeout_ms;
         }
-        is_free
+        may_begin
     }
 
-    /// Notes that a trial has ended, however it did.
+    /// Records the end of a trial, with any outcome.
     pub fn end_trial(&mut self, fingerprint: Fingerprint) {
         if let Some(record) = self.records.get_mut(&fingerprint) {
             record.trial_until_ms = 0;
         }
     }
 
-    /// What is known of one request, for others; `None` where that is nothing.
+    /// Returns the state of one request for other instances, or `None` if it is unknown.
     #[must_use]
     pub fn report(&self, fingerprint: Fingerprint, now_ms: u64) -> Option<Report> {
         let record = self.records.get(&fingerprint)?;
         Some(record.report(fingerprint, now_ms))
     }
 
-    /// What one that starts needs to know: requests that are not treated as usual.
+    /// Returns the requests that are not sent normally, for instances that start.
     #[must_use]
     pub fn reports(&self, now_ms: u64) -> Vec<Report> {
         let wanted = self.records.iter().filter(|(_, r)| r.treatment(now_ms) != Treatment::Usual);
         wanted.map(|(fingerprint, record)| record.report(*fingerprint, now_ms)).collect()
     }
 
-    /// Digest of the requests that are not treated as usual; two instances with the same digest
-    /// have nothing to tell each other.
+    /// Returns a digest of the requests that are not sent normally.
+    ///
+    /// Two instances with the same digest need not exchange reports.
     #[must_use]
     pub fn digest(&self, now_ms: u64) -> u64 {
         let one = |(fingerprint, record): (&Fingerprint, &Record)| match record.treatment(now_ms) {
@@ -273,26 +290,26 @@
         self.records.iter().fold(0, |digest, record| digest ^ one(record))
     }
 
-    /// Number of requests that are remembered.
+    /// Returns the number of records.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether none is.
+    /// Returns true if there are no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Changes the record of a request and says what follows.
+    /// Changes the record of a request and returns the effect.
     fn update(
         &mut self,
         fingerprint: Fingerprint,
         now_ms: u64,
         change: impl FnOnce(&mut Record) -> bool,
     ) -> Finding {
-        self.forget(fingerprint, now_ms);
+        self.make_room(fingerprint, now_ms);
         let record = self.records.entry(fingerprint).or_default();
         let before = record.treatment(now_ms);
         let has_changed = change(record);
@@ -307,65 +324,66 @@
         }
     }
 
-    /// Makes room: forgets what is over, and of too many those that weigh least.
-    fn forget(&mut self, wanted: Fingerprint, now_ms: u64) {
-        self.records.retain(|_, record| now_ms < record.over_at_ms);
-        if self.records.len() < MOST_REQUESTS || self.records.contains_key(&wanted) {
+    /// Removes expired records and, if there are too many, the least important one.
+    fn make_room(&mut self, wanted: Fingerprint, now_ms: u64) {
+        self.records.retain(|_, record| now_ms < record.expires_at_ms);
+        if self.records.len() < MAX_REQUESTS || self.records.contains_key(&wanted) {
             return;
         }
-        let weight = |r: &Record| (r.refused_until_ms, r.is_suspect(), r.over_at_ms);
-        let least = self.records.iter().min_by_key(|(_, r)| weight(r)).map(|(f, _)| *f);
-        if let Some(least) = least {
-            self.records.remove(&least);
+        let weight = |r: &Record| (r.refused_until_ms, r.is_suspect(), r.expires_at_ms);
+        let least_important = self.records.iter().min_by_key(|(_, r)| weight(r)).map(|(f, _)| *f);
+        if let Some(least_important) = least_important {
+            self.records.remove(&least_important);
         }
     }
 }
 
-fn add(marks: &mut Vec<u32>, mark: u32) -> bool {
-    let is_new = !marks.contains(&mark) && marks.len() < MOST_MARKS;
+fn add_send(sends: &mut Vec<u32>, send_id: u32) -> bool {
+    let is_new = !sends.contains(&send_id) && sends.len() < MAX_CRASHES_PER_REQUEST;
     if is_new {
-        marks.push(mark);
+        sends.push(send_id);
     }
     is_new
 }
 
 fn clear(record: &mut Record, now_ms: u64) -> bool {
-    let is_news = !record.is_cleared();
-    if is_news {
-        let over_at_ms = now_ms + CLEARED_LIFE_MS;
-        *record = Record { cleared_ms: Some(now_ms), over_at_ms, ..Record::default() };
+    let has_changed = !record.is_cleared();
+    if has_changed {
+        let expires_at_ms = now_ms + CLEARED_RETENTION_MS;
+        *record = Record { cleared_ms: Some(now_ms), expires_at_ms, ..Record::default() };
     }
-    is_news
+    has_changed
 }
 
 fn merge_into(record: &mut Record, report: &Report, now_ms: u64) -> bool {
-    // Older than the answer, most likely; what is newer comes again with the next end.
+    // The report is most likely older than the answer; newer evidence follows with the next crash.
     if record.is_cleared() {
         return false;
     }
-    let mut is_news = false;
-    for &mark in &report.ended {
-        is_news |= add(&mut record.ended, mark);
+    let mut has_changed = false;
+    for &send_id in &report.ended {
+        has_changed |= add_send(&mut record.ended, send_id);
     }
-    let mut has_ended_alone = false;
-    for &mark in &report.ended_alone {
-        has_ended_alone |= add(&mut record.ended_alone, mark);
+    let mut has_new_isolated_crash = false;
+    for &send_id in &report.ended_alone {
+        has_new_isolated_crash |= add_send(&mut record.ended_alone, send_id);
     }
-    let until_ms = now_ms + report.refused_ms.min(FIRST_REFUSAL_MS << MOST_DOUBLINGS);
-    let is_longer = report.refused_ms > 0 && until_ms > record.refused_until_ms + NEWS_MS;
-    if is_longer {
+    let until_ms = now_ms + report.refused_ms.min(FIRST_REFUSAL_MS << MAX_REFUSAL_DOUBLINGS);
+    let is_extended =
+        report.refused_ms > 0 && until_ms > record.refused_until_ms + MIN_REFUSAL_EXTENSION_MS;
+    if is_extended {
         record.refused_until_ms = until_ms;
     }
     record.refusals = record.refusals.max(report.refusals);
-    is_news |= has_ended_alone || is_longer;
-    // Forgotten when its reporter forgets it, unless more is known here.
-    record.over_at_ms = record.over_at_ms.max(now_ms + report.left_ms.min(MOST_LEFT_MS));
-    if is_news {
-        // Of one that was refused before, its reporter knows whether that is over.
-        record.judge(has_ended_alone && record.refusals == 0, now_ms);
+    has_changed |= has_new_isolated_crash || is_extended;
+    // Expires together with the reporter's record, unless there is more evidence here.
+    record.expires_at_ms = record.expires_at_ms.max(now_ms + report.left_ms.min(MAX_RETENTION_MS));
+    if has_changed {
+        // If the request was refused before, the reporter has already decided on the next refusal.
+        record.refuse_if_proven(has_new_isolated_crash && record.refusals == 0, now_ms);
         if now_ms < record.refused_until_ms {
-            record.renew(now_ms);
+            record.extend_retention(now_ms);
         }
     }
-    is_news
+    has_changed
 }
--- a/crates/decide/tests/quarantine.rs
+++ b/crates/decide/tests/quarantine.rs
@@ -1,15 +1,15 @@
-//! Which requests are refused since replicas end when they run them, and which are not.
+//! Quarantine of requests that crash their replicas.
 //!
-//! Symptom: one request took down a whole index, again and again; and the wrong cure for it:
-//! requests that merely ran beside it were refused with it.
-//! Cause: nothing was remembered of a request, or only that a replica ended under it.
+//! Guards against two failures: one request taking down a whole index again and again because
+//! nothing is remembered about it, and requests that merely ran at the same time being refused with
+//! it because only the crash of their replica is remembered.
 
 use eelgrasspier_decide::fingerprint::Fingerprint;
 use eelgrasspier_decide::losses::{Ended, Known, Losses, Lost};
 use eelgrasspier_decide::quarantine::{Finding, Quarantine, Report, Treatment};
 use prost::Message;
 
-const ENDING: Fingerprint = Fingerprint(1);
+const CRASHING: Fingerprint = Fingerprint(1);
 const INNOCENT: Fingerprint = Fingerprint(2);
 const SECOND_MS: u64 = 1_000;
 const MINUTE_MS: u64 = 60_000;
@@ -18,8 +18,8 @@
     Ended { request, send, is_alone }
 }
 
-/// A request to `shards` shards whose replicas have all ended at once.
-fn wave(quarantine: &mut Quarantine, request: Fingerprint, shards: u32) {
+/// Records the simultaneous crash of all replicas of a request to `shards` shards.
+fn record_crash_wave(quarantine: &mut Quarantine, request: Fingerprint, shards: u32) {
     for replica in 1..=shards {
         quarantine.note_ended(ended(request, replica, false), 0);
     }
@@ -30,42 +30,42 @@
 }
 
 #[test]
-fn it_is_tried_alone_after_two_ends_and_refused_after_two_more() {
+fn a_request_is_isolated_after_two_crashes_and_refused_after_two_more() {
     let mut quarantine = Quarantine::default();
-    assert_eq!(quarantine.note_ended(ended(ENDING, 1, false), 0), Finding::Noted);
-    assert_eq!(quarantine.treatment(ENDING, 0), Treatment::Usual);
-    assert_eq!(quarantine.note_ended(ended(ENDING, 2, false), 0), Finding::Suspected);
-    assert_eq!(quarantine.treatment(ENDING, 0), Treatment::OneByOne);
-    assert_eq!(quarantine.note_ended(ended(ENDING, 3, true), 0), Finding::Noted);
-    assert_eq!(quarantine.note_ended(ended(ENDING, 4, true), 0), Finding::Refused);
-    assert!(is_refused(&quarantine, ENDING, SECOND_MS));
+    assert_eq!(quarantine.note_ended(ended(CRASHING, 1, false), 0), Finding::Noted);
+    assert_eq!(quarantine.treatment(CRASHING, 0), Treatment::Usual);
+    assert_eq!(quarantine.note_ended(ended(CRASHING, 2, false), 0), Finding::Suspected);
+    assert_eq!(quarantine.treatment(CRASHING, 0), Treatment::OneByOne);
+    assert_eq!(quarantine.note_ended(ended(CRASHING, 3, true), 0), Finding::Noted);
+    assert_eq!(quarantine.note_ended(ended(CRASHING, 4, true), 0), Finding::Refused);
+    assert!(is_refused(&quarantine, CRASHING, SECOND_MS));
 }
 
-/// Sequence: a request to twenty shards was in progress on replicas that another request ended,
-/// all of them; then it is tried on one and answered.
+/// A request to twenty shards was in progress on replicas that another request crashed, all of
+/// them; it is then tried on one replica and answered.
 #[test]
-fn a_bystander_of_any_number_of_ends_is_never_refused() {
+fn an_answered_request_is_cleared_after_any_number_of_crashes() {
     let mut quarantine = Quarantine::default();
-    wave(&mut quarantine, ENDING, 20);
-    wave(&mut quarantine, INNOCENT, 20);
+    record_crash_wave(&mut quarantine, CRASHING, 20);
+    record_crash_wave(&mut quarantine, INNOCENT, 20);
     assert_eq!(quarantine.treatment(INNOCENT, 0), Treatment::OneByOne);
     assert_eq!(quarantine.note_answered(INNOCENT, 12), Finding::Cleared);
     assert_eq!(quarantine.treatment(INNOCENT, 12), Treatment::Usual);
-    assert_eq!(quarantine.treatment(ENDING, 12), Treatment::OneByOne);
+    assert_eq!(quarantine.treatment(CRASHING, 12), Treatment::OneByOne);
 }
 
-/// Sequence: the one replica on which it was tried was ended by another request at that moment.
+/// The replica of the trial was crashed by another request at the same moment.
 #[test]
-fn one_trial_that_ends_is_a_coincidence() {
+fn one_crash_in_a_trial_does_not_refuse_a_request() {
     let mut quarantine = Quarantine::default();
-    wave(&mut quarantine, INNOCENT, 20);
+    record_crash_wave(&mut quarantine, INNOCENT, 20);
     quarantine.note_ended(ended(INNOCENT, 21, true), 0);
     assert_eq!(quarantine.treatment(INNOCENT, 0), Treatment::OneByOne);
 }
 
-/// Sequence: the replicas on which it was tried ran something else that nobody had answered.
+/// The crashed replicas also ran another unanswered request.
 #[test]
-fn an_end_that_may_be_anothers_doing_proves_nothing() {
+fn crashes_outside_of_trials_do_not_refuse_a_request() {
     let mut quarantine = Quarantine::default();
     for replica in 1..=40 {
         quarantine.note_ended(ended(INNOCENT, replica, false), 0);
@@ -74,9 +74,9 @@
 }
 
 #[test]
-fn an_answer_outweighs_old_evidence_that_still_travels() {
+fn an_answer_overrides_older_reports() {
     let mut quarantine = Quarantine::default();
-    wave(&mut quarantine, INNOCENT, 20);
+    record_crash_wave(&mut quarantine, INNOCENT, 20);
     let old = quarantine.report(INNOCENT, 0).unwrap();
     quarantine.note_answered(INNOCENT, 10);
     assert_eq!(quarantine.merge(&old, 20), Finding::Unchanged);
@@ -84,30 +84,30 @@
 }
 
 #[test]
-fn an_answer_ends_a_refusal_everywhere() {
+fn an_answer_ends_a_refusal_on_other_instances() {
     let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
-    wave(&mut here, ENDING, 3);
-    here.note_ended(ended(ENDING, 4, true), 0);
-    here.note_ended(ended(ENDING, 5, true), 0);
-    there.merge(&here.report(ENDING, 0).unwrap(), 0);
-    assert!(is_refused(&there, ENDING, 10));
-    here.note_answered(ENDING, 20);
-    assert_eq!(there.merge(&here.report(ENDING, 20).unwrap(), 30), Finding::Cleared);
-    assert!(!is_refused(&there, ENDING, 30));
+    record_crash_wave(&mut here, CRASHING, 3);
+    here.note_ended(ended(CRASHING, 4, true), 0);
+    here.note_ended(ended(CRASHING, 5, true), 0);
+    there.merge(&here.report(CRASHING, 0).unwrap(), 0);
+    assert!(is_refused(&there, CRASHING, 10));
+    here.note_answered(CRASHING, 20);
+    assert_eq!(there.merge(&here.report(CRASHING, 20).unwrap(), 30), Finding::Cleared);
+    assert!(!is_refused(&there, CRASHING, 30));
 }
 
-/// Each of three instances sees one end; two of them try it, at the same time.
+/// Each of three instances sees one crash, and two of them begin a trial at the same time.
 #[test]
-fn what_several_instances_see_adds_up_in_any_order() {
+fn evidence_of_several_instances_merges_in_any_order() {
     let mut all: Vec<Quarantine> = vec![Quarantine::default(); 3];
     let mut reports: Vec<Report> = Vec::new();
     for (number, quarantine) in (1..).zip(&mut all) {
-        quarantine.note_ended(ended(ENDING, number, false), 0);
-        reports.push(quarantine.report(ENDING, 0).unwrap());
+        quarantine.note_ended(ended(CRASHING, number, false), 0);
+        reports.push(quarantine.report(CRASHING, 0).unwrap());
     }
     for (number, quarantine) in (11..).zip(all.iter_mut().take(2)) {
-        quarantine.note_ended(ended(ENDING, number, true), 0);
-        reports.push(quarantine.report(ENDING, 0).unwrap());
+        quarantine.note_ended(ended(CRASHING, number, true), 0);
+        reports.push(quarantine.report(CRASHING, 0).unwrap());
     }
     for (turn, quarantine) in all.iter_mut().enumerate() {
         let mut order = reports.clone();
@@ -115,96 +115,96 @@
         for report in &order {
             quarantine.merge(report, 1);
         }
-        assert!(is_refused(quarantine, ENDING, 2), "{quarantine:?}");
+        assert!(is_refused(quarantine, CRASHING, 2), "{quarantine:?}");
     }
 }
 
-/// Reports that bring nothing new are passed over, so that they don't go round for ever.
+/// Guards against reports without new information circulating forever.
 #[test]
-fn a_report_is_news_once() {
+fn a_report_has_an_effect_only_once() {
     let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
-    wave(&mut here, ENDING, 3);
-    here.note_ended(ended(ENDING, 4, true), 0);
-    here.note_ended(ended(ENDING, 5, true), 0);
-    let report = here.report(ENDING, 0).unwrap();
+    record_crash_wave(&mut here, CRASHING, 3);
+    here.note_ended(ended(CRASHING, 4, true), 0);
+    here.note_ended(ended(CRASHING, 5, true), 0);
+    let report = here.report(CRASHING, 0).unwrap();
     assert_eq!(there.merge(&report, 40), Finding::Refused);
-    let back = there.report(ENDING, 40).unwrap();
+    let back = there.report(CRASHING, 40).unwrap();
     assert_eq!(here.merge(&back, 80), Finding::Unchanged);
     assert_eq!(there.merge(&report, 120), Finding::Unchanged);
 }
 
 #[test]
-fn a_refusal_ends_and_one_more_end_brings_it_back_for_longer() {
+fn a_refusal_expires_and_the_next_crash_renews_it_for_longer() {
     let mut quarantine = Quarantine::default();
-    wave(&mut quarantine, ENDING, 3);
-    quarantine.note_ended(ended(ENDING, 4, true), 0);
-    quarantine.note_ended(ended(ENDING, 5, true), 0);
+    record_crash_wave(&mut quarantine, CRASHING, 3);
+    quarantine.note_ended(ended(CRASHING, 4, true), 0);
+    quarantine.note_ended(ended(CRASHING, 5, true), 0);
     let later = 6 * MINUTE_MS;
-    assert_eq!(quarantine.treatment(ENDING, later), Treatment::OneByOne);
-    assert_eq!(quarantine.note_ended(ended(ENDING, 6, true), later), Finding::Refused);
-    assert!(is_refused(&quarantine, ENDING, later + 9 * MINUTE_MS));
-    assert!(!is_refused(&quarantine, ENDING, later + 11 * MINUTE_MS));
+    assert_eq!(quarantine.treatment(CRASHING, later), Treatment::OneByOne);
+    assert_eq!(quarantine.note_ended(ended(CRASHING, 6, true), later), Finding::Refused);
+    assert!(is_refused(&quarantine, CRASHING, later + 9 * MINUTE_MS));
+    assert!(!is_refused(&quarantine, CRASHING, later + 11 * MINUTE_MS));
 }
 
-/// Sequence: a refusal is over, and an instance starts that knows nothing of it.
+/// A refusal has ended, and an instance without any records starts.
 #[test]
-fn a_refusal_that_is_over_is_not_begun_again_by_those_that_start() {
+fn new_instances_do_not_renew_an_expired_refusal() {
     let (mut here, mut started) = (Quarantine::default(), Quarantine::default());
-    wave(&mut here, ENDING, 3);
-    here.note_ended(ended(ENDING, 4, true), 0);
-    here.note_ended(ended(ENDING, 5, true), 0);
+    record_crash_wave(&mut here, CRASHING, 3);
+    here.note_ended(ended(CRASHING, 4, true), 0);
+    here.note_ended(ended(CRASHING, 5, true), 0);
     let later = 6 * MINUTE_MS;
-    started.merge(&here.report(ENDING, later).unwrap(), later);
-    assert_eq!(started.treatment(ENDING, later), Treatment::OneByOne);
+    started.merge(&here.report(CRASHING, later).unwrap(), later);
+    assert_eq!(started.treatment(CRASHING, later), Treatment::OneByOne);
 }
 
 #[test]
-fn it_is_forgotten_in_time() {
+fn records_expire() {
     let mut quarantine = Quarantine::default();
     quarantine.note_ended(ended(INNOCENT, 1, false), 0);
-    wave(&mut quarantine, ENDING, 3);
-    // Whatever comes next makes room.
+    record_crash_wave(&mut quarantine, CRASHING, 3);
+    // The next update removes expired records.
     quarantine.note_ended(ended(Fingerprint(3), 1, false), MINUTE_MS);
-    assert_eq!(quarantine.treatment(ENDING, MINUTE_MS), Treatment::OneByOne);
+    assert_eq!(quarantine.treatment(CRASHING, MINUTE_MS), Treatment::OneByOne);
     assert_eq!(quarantine.len(), 2);
     quarantine.note_ended(ended(Fingerprint(3), 2, false), 6 * MINUTE_MS);
-    assert_eq!(quarantine.treatment(ENDING, 6 * MINUTE_MS), Treatment::Usual);
+    assert_eq!(quarantine.treatment(CRASHING, 6 * MINUTE_MS), Treatment::Usual);
     assert_eq!(quarantine.len(), 1);
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_refusals_stay_longest() {
+fn records_are_bounded_and_refusals_are_evicted_last() {
     let mut quarantine = Quarantine::default();
-    wave(&mut quarantine, ENDING, 3);
-    quarantine.note_ended(ended(ENDING, 4, true), 0);
-    quarantine.note_ended(ended(ENDING, 5, true), 0);
+    record_crash_wave(&mut quarantine, CRASHING, 3);
+    quarantine.note_ended(ended(CRASHING, 4, true), 0);
+    quarantine.note_ended(ended(CRASHING, 5, true), 0);
     for number in 0..10_000 {
         quarantine.note_ended(ended(Fingerprint(100 + number), 1, false), SECOND_MS);
         quarantine.note_ended(ended(Fingerprint(100 + number), 2, false), SECOND_MS);
     }
     assert!(quarantine.len() <= 256, "{}", quarantine.len());
-    assert!(is_refused(&quarantine, ENDING, SECOND_MS));
+    assert!(is_refused(&quarantine, CRASHING, SECOND_MS));
     for number in 0..10_000 {
-        quarantine.note_ended(ended(ENDING, number, true), SECOND_MS);
+        quarantine.note_ended(ended(CRASHING, number, true), SECOND_MS);
     }
-    let report = quarantine.report(ENDING, SECOND_MS).unwrap();
+    let report = quarantine.report(CRASHING, SECOND_MS).unwrap();
     assert!(report.encoded_len() <= 160, "{} bytes", report.encoded_len());
 }
 
 #[test]
-fn one_trial_is_made_at_a_time_and_does_not_block_for_ever() {
+fn only_one_trial_runs_at_a_time_and_it_times_out() {
     let mut quarantine = Quarantine::default();
-    wave(&mut quarantine, INNOCENT, 2);
+    record_crash_wave(&mut quarantine, INNOCENT, 2);
     assert!(quarantine.begin_trial(INNOCENT, 0, 50));
     assert!(!quarantine.begin_trial(INNOCENT, 10, 50));
     quarantine.end_trial(INNOCENT);
     assert!(quarantine.begin_trial(INNOCENT, 11, 50));
-    // Its caller left, so that nobody saw the end.
+    // The caller disconnected, so the end of the trial was not recorded.
     assert!(quarantine.begin_trial(INNOCENT, 61, 50));
 }
 
 #[test]
-fn requests_that_differ_anywhere_have_other_fingerprints() {
+fn different_requests_have_different_fingerprints() {
     let of =
         |parts: &[&str]| Fingerprint::of(&parts.iter().map(|p| p.as_bytes()).collect::<Vec<_>>());
     let one = of(&["GET", "host", "/q?page=1", "body"]);
@@ -224,21 +224,21 @@
 }
 
 #[test]
-fn what_was_lost_waits_until_it_is_known_whether_the_server_has_ended() {
+fn losses_wait_for_the_state_of_the_server() {
     let mut losses = Losses::default();
-    assert_eq!(losses.add(1, lost(ENDING, true), 0), Known::Unknown);
-    assert_eq!(losses.awaited(ENDING), 1);
-    assert_eq!(losses.resolve(1, true, 3), [ended(ENDING, 7, true)]);
-    assert_eq!(losses.awaited(ENDING), 0);
-    // One that is noticed later was lost with it.
+    assert_eq!(losses.add(1, lost(CRASHING, true), 0), Known::Unknown);
+    assert_eq!(losses.awaited(CRASHING), 1);
+    assert_eq!(losses.resolve(1, true, 3), [ended(CRASHING, 7, true)]);
+    assert_eq!(losses.awaited(CRASHING), 0);
+    // A loss that is detected later belongs to the same crash.
     let late = Known::HasEnded(ended(INNOCENT, 7, false));
     assert_eq!(losses.add(1, lost(INNOCENT, false), 4), late);
-    // By then it has started again.
+    // The server may have restarted by then.
     assert_eq!(losses.add(1, lost(INNOCENT, false), SECOND_MS), Known::Unknown);
 }
 
 #[test]
-fn a_server_that_lives_has_ended_under_nobody() {
+fn losses_at_a_running_server_are_no_evidence() {
     let mut losses = Losses::default();
     losses.add(1, lost(INNOCENT, true), 0);
     assert_eq!(losses.resolve(1, false, 3), []);
@@ -246,19 +246,19 @@
 }
 
 #[test]
-fn a_trial_beside_another_unanswered_request_is_not_by_itself() {
+fn a_trial_with_another_unanswered_request_is_not_isolated() {
     let mut losses = Losses::default();
-    losses.add(1, lost(ENDING, true), 0);
+    losses.add(1, lost(CRASHING, true), 0);
     assert_eq!(losses.add(1, lost(INNOCENT, false), 0), Known::Awaited);
-    let both = [ended(ENDING, 7, false), ended(INNOCENT, 7, false)];
+    let both = [ended(CRASHING, 7, false), ended(INNOCENT, 7, false)];
     assert_eq!(losses.resolve(1, true, 3), both);
 }
 
 #[test]
-fn a_request_that_is_answered_meanwhile_has_lost_nothing() {
+fn an_answer_removes_the_losses_of_a_request() {
     let mut losses = Losses::default();
-    losses.add(1, lost(ENDING, true), 0);
+    losses.add(1, lost(CRASHING, true), 0);
     losses.add(1, lost(INNOCENT, false), 0);
     losses.answered(INNOCENT);
-    assert_eq!(losses.resolve(1, true, 3), [ended(ENDING, 7, true)]);
+    assert_eq!(losses.resolve(1, true, 3), [ended(CRASHING, 7, true)]);
 }
