--- a/crates/decide/src/admission/gate.rs
+++ b/crates/decide/src/admission/gate.rs
@@ -1,79 +1,78 @@
-//! A bound on the requests in progress, which follows what is answered in time.
+//! Adaptive concurrency limit that follows what is answered in time.
 //!
-//! One gate stands before each service in each traffic thread. It bounds the
-//! requests in progress by a limit that follows what the backend servers can
-//! finish in time, and shares it between teams by weight. A request that cannot
-//! finish in time is refused when it comes, with when to come back; a request
-//! that waits is refused as soon as its time no longer suffices.
+//! Each traffic thread has one gate per service. The gate limits the requests in progress to what
+//! the backend servers can finish in time, and divides the limit between teams by weight. A request
+//! that cannot finish in time is refused on arrival, with a retry-after time; a waiting request is
+//! refused as soon as its remaining time no longer suffices.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::verdict::{Refusal, RefusalReason};
 
-/// Shortest time after which a refused caller is asked to come back.
-const LEAST_RETRY_AFTER_MS: u64 = 50;
-/// Longest time after which a refused caller is asked to come back.
-const MOST_RETRY_AFTER_MS: u64 = 5_000;
-/// Requests that may wait for each one that may run.
-const WAITING_PER_RUNNING: usize = 1;
-/// Share of a new service time in the running mean, as a power of two.
-const MEAN_SHIFT: u32 = 4;
-/// Upward drift of the least mean with each request, as a power of two.
-const BASE_DRIFT_SHIFT: u32 = 13;
-/// Shortest time between two cuts of the limit.
-const LEAST_SHRINK_PAUSE_MS: u64 = 10;
-/// The limit in sixteenths, so that it can grow by less than one.
-const LIMIT_UNIT: u32 = 16;
+/// Minimum retry-after time of a refusal, in milliseconds.
+const MIN_RETRY_AFTER_MS: u64 = 50;
+/// Maximum retry-after time of a refusal, in milliseconds.
+const MAX_RETRY_AFTER_MS: u64 = 5_000;
+/// Maximum number of waiting requests per request that may run.
+const MAX_WAITING_PER_RUNNING: usize = 1;
+/// Weight of a new service time in the EWMA, as a negative power of two.
+const SERVICE_TIME_EWMA_SHIFT: u32 = 4;
+/// Relative increase of the baseline service time with each request, as a negative power of two.
+const BASELINE_DRIFT_SHIFT: u32 = 13;
+/// Minimum time between two reductions of the limit, in milliseconds.
+const MIN_REDUCTION_INTERVAL_MS: u64 = 10;
+/// Units of the internal limit per request, so that it can change by fractions of a request.
+const LIMIT_UNITS_PER_REQUEST: u32 = 16;
 
-/// What the gate says to a request that comes.
+/// Decision on an arriving request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// Run now.
+    /// The request runs now.
     Run,
-    /// Wait until the gate starts or refuses the ticket, at most until `until_ms`.
+    /// The request waits until the gate starts or refuses the ticket, at most until `until_ms`.
     Wait {
-        /// Number of the waiting request.
+        /// Id of the waiting request.
         ticket: Ticket,
-        /// When it is refused if nothing was heard.
+        /// Time at which it is refused if it has not been started, in milliseconds.
         until_ms: u64,
     },
-    /// Refused at once.
+    /// The request is refused at once.
     Refuse(Refusal),
 }
 
-/// Number of a waiting request.
+/// Id of a waiting request.
 pub type Ticket = u64;
 
-/// How a request that ran has ended, as far as the limit is concerned.
+/// Outcome of a request that ran, as used to adapt the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// All parts came in time.
+    /// All parts arrived in time.
     InTime,
     /// A part was late.
     Late,
     /// A backend server shed a part.
     Shed,
-    /// It says nothing about load, such as a refusal for other causes.
+    /// Unrelated to load, such as a refusal for another reason.
     Neutral,
 }
 
-/// The end of a request that ran.
+/// Completion of a request that ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Ended {
-    /// How it has ended.
+    /// Outcome of the request.
     pub ending: Ending,
-    /// How long it ran.
+    /// Run time in microseconds.
     pub took_us: u64,
-    /// How long it could have run when it started.
+    /// Time left until its deadline when it started, in microseconds.
     pub budget_us: u64,
 }
 
-/// A waiting request that the gate has decided on.
+/// Decision on a waiting request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Resolved {
-    /// It runs now.
+    /// The request runs now.
     Start(Ticket),
-    /// It is refused now.
+    /// The request is refused now.
     Refuse(Ticket, Refusal),
 }
 
@@ -90,61 +89,61 @@
     waiting: VecDeque<Waiting>,
 }
 
-/// The gate before one service.
+/// Admission control for one service.
 #[derive(Debug, Clone)]
 pub struct Gate {
     limit_units: u32,
-    most: u32,
+    max_running: u32,
     running: u32,
     mean_us: u64,
-    /// The least that the mean has been lately: what work takes without a queue.
-    base_us: u64,
+    /// Recent minimum of the mean: the service time without a queue.
+    baseline_us: u64,
     teams: BTreeMap<String, Team>,
     next_ticket: Ticket,
-    strained_at_ms: u64,
+    reduced_at_ms: u64,
 }
 
 impl Gate {
-    /// A gate that lets at most `most` requests run at a time.
+    /// Creates a gate that runs at most `max_running` requests at a time.
     #[must_use]
-    pub fn new(most: u32) -> Self {
-        let most = most.max(1);
+    pub fn new(max_running: u32) -> Self {
+        let max_running = max_running.max(1);
         Self {
-            limit_units: most * LIMIT_UNIT,
-            most,
+            limit_units: max_running * LIMIT_UNITS_PER_REQUEST,
+            max_running,
             running: 0,
             mean_us: 0,
-            base_us: 0,
+            baseline_us: 0,
             teams: BTreeMap::new(),
             next_ticket: 0,
-            strained_at_ms: 0,
+            reduced_at_ms: 0,
         }
     }
 
-    /// Changes the most that may run at a time, as the share of connections does.
-    pub fn set_most(&mut self, most: u32) {
-        // A limit that nothing has cut yet follows; else a new instance would refuse
-        // what it could well do until its limit has grown step by step.
-        let is_uncut = self.limit_units == self.most * LIMIT_UNIT;
-        self.most = most.max(1);
-        let most_units = self.most * LIMIT_UNIT;
-        let units = if is_uncut { most_units } else { self.limit_units };
-        self.limit_units = units.clamp(LIMIT_UNIT, most_units);
+    /// Sets the maximum number of running requests, which follows the share of connections.
+    pub fn set_most(&mut self, max_running: u32) {
+        // A limit that has not been reduced yet follows the maximum. Otherwise a new instance would
+        // refuse requests that it could serve, until its limit had grown step by step.
+        let is_unreduced = self.limit_units == self.max_running * LIMIT_UNITS_PER_REQUEST;
+        self.max_running = max_running.max(1);
+        let max_units = self.max_running * LIMIT_UNITS_PER_REQUEST;
+        let units = if is_unreduced { max_units } else { self.limit_units };
+        self.limit_units = units.clamp(LIMIT_UNITS_PER_REQUEST, max_units);
     }
 
-    /// Requests that may run at a time now.
+    /// Returns the current limit on running requests.
     #[must_use]
     pub fn limit(&self) -> u32 {
-        (self.limit_units / LIMIT_UNIT).max(1)
+        (self.limit_units / LIMIT_UNITS_PER_REQUEST).max(1)
     }
 
-    /// Requests that run now.
+    /// Returns the number of running requests.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// A request of `team` comes, to be answered by `deadline_ms`.
+    /// Decides on an arriving request of `team` with the deadline `deadline_ms`.
     pub fn offer(&mut self, team: &str, weight: u32, deadline_ms: u64, now_ms: u64) -> Decision {
         let entry = self.teams.entry(team.to_owned()).or_default();
         entry.weight = weight;
@@ -154,7 +153,7 @@
         }
         let limit = self.limit() as usize;
         let queued = self.teams.get(team).map_or(0, |t| t.waiting.len());
-        let fair_queue = (self.fair_share(team) as usize * WAITING_PER_RUNNING).max(1);
+        let fair_queue = (self.fair_share(team) as usize * MAX_WAITING_PER_RUNNING).max(1);
         if queued >= fair_queue {
             let reason = match self.active_teams() {
                 0 | 1 => RefusalReason::Overloaded,
@@ -167,27 +166,26 @@
         if now_ms + wait_ms + self.mean_us / 1000 > deadline_ms {
             return Decision::Refuse(self.refusal(RefusalReason::Overloaded));
         }
-        // A refusal is worth more the sooner it comes, and the rest of the time is
-        // needed for the work. A team that runs less than its share comes next for
-        // sure, so that waiting is worth more to it.
+        // An early refusal is worth more to the caller, and the rest of the time is needed for the
+        // work. A team below its share is next in line, so waiting is more useful to it.
         let running = self.teams.get(team).map_or(0, |t| t.running);
         let is_next = self.active_teams() > 1 && running < self.fair_share(team);
-        let one_in = if is_next { 2 } else { 4 };
-        let until_ms = now_ms + deadline_ms.saturating_sub(now_ms) / one_in;
+        let wait_divisor = if is_next { 2 } else { 4 };
+        let until_ms = now_ms + deadline_ms.saturating_sub(now_ms) / wait_divisor;
         Decision::Wait { ticket: self.enqueue(team, until_ms), until_ms }
     }
 
-    /// A request that ran has ended; returns what becomes of waiting ones.
+    /// Records the completion of a request; returns decisions on waiting requests.
     pub fn finish(&mut self, team: &str, ended: Ended, now_ms: u64) -> Vec<Resolved> {
         self.running = self.running.saturating_sub(1);
         if let Some(entry) = self.teams.get_mut(team) {
             entry.running = entry.running.saturating_sub(1);
         }
-        self.adapt(ended, now_ms);
-        self.advance(now_ms)
+        self.adapt_limit(ended, now_ms);
+        self.start_waiting(now_ms)
     }
 
-    /// Refuses waiting requests whose time no longer suffices.
+    /// Refuses waiting requests whose remaining time no longer suffices.
     pub fn expire(&mut self, now_ms: u64) -> Vec<Resolved> {
         let refusal = self.refusal(RefusalReason::Overloaded);
         let mut refused = Vec::new();
@@ -203,14 +201,14 @@
         refused
     }
 
-    /// A waiting caller has gone.
+    /// Removes a waiting request whose caller has disconnected.
     pub fn cancel(&mut self, ticket: Ticket) {
         for team in self.teams.values_mut() {
             team.waiting.retain(|w| w.ticket != ticket);
         }
     }
 
-    fn advance(&mut self, now_ms: u64) -> Vec<Resolved> {
+    fn start_waiting(&mut self, now_ms: u64) -> Vec<Resolved> {
         let mut resolved = self.expire(now_ms);
         while self.running < self.limit() {
             let Some(team) = self.next_team() else { break };
@@ -223,7 +221,7 @@
         resolved
     }
 
-    /// The waiting team that runs least for its weight.
+    /// Returns the waiting team with the fewest running requests relative to its weight.
     fn next_team(&self) -> Option<String> {
         let waiting = self.teams.iter().filter(|(_, t)| !t.waiting.is_empty());
         let key = |t: &Team| u64::from(t.running) * 1_000_000 / u64::from(t.weight.max(1));
@@ -254,7 +252,7 @@
         self.teams.values().filter(|t| t.running > 0 || !t.waiting.is_empty()).count()
     }
 
-    /// Requests that `team` may run while every other active team does too.
+    /// Returns the share of the limit for `team` among all active teams.
     fn fair_share(&self, team: &str) -> u32 {
         let active = |(name, t): &(&String, &Team)| {
             name.as_str() == team || t.running > 0 || !t.waiting.is_empty()
@@ -264,38 +262,41 @@
         (self.limit() * own / total.max(1)).max(1)
     }
 
-    /// Growth while answers are in time, a cut once per service time else.
-    fn adapt(&mut self, ended: Ended, now_ms: u64) {
+    /// Raises the limit if the answer was in time; otherwise reduces it, at most once per service
+    /// time.
+    fn adapt_limit(&mut self, ended: Ended, now_ms: u64) {
         if ended.ending == Ending::Neutral {
             return;
         }
-        self.measure(ended.took_us);
-        if self.is_strained(ended) {
-            self.shrink(now_ms);
+        self.record_service_time(ended.took_us);
+        if self.is_overloaded(ended) {
+            self.reduce_limit(now_ms);
         } else {
-            // A whole unit for each answer in time: below capacity a few late ones must
-            // not shut callers out for long; above it the next cut comes soon enough.
-            self.limit_units = (self.limit_units + LIMIT_UNIT).min(self.most * LIMIT_UNIT);
+            // Grows by a whole request for each answer in time. Below capacity, a few late answers
+            // must not keep callers out for long; above it, the next reduction follows soon enough.
+            self.limit_units = (self.limit_units + LIMIT_UNITS_PER_REQUEST)
+                .min(self.max_running * LIMIT_UNITS_PER_REQUEST);
         }
     }
 
-    fn measure(&mut self, took_us: u64) {
+    fn record_service_time(&mut self, took_us: u64) {
         if self.mean_us == 0 {
             self.mean_us = took_us;
-            self.base_us = took_us;
+            self.baseline_us = took_us;
         }
-        self.mean_us = self.mean_us - (self.mean_us >> MEAN_SHIFT) + (took_us >> MEAN_SHIFT);
-        let drifted_us = self.base_us + (self.base_us >> BASE_DRIFT_SHIFT) + 1;
-        self.base_us = drifted_us.min(self.mean_us);
+        self.mean_us = self.mean_us - (self.mean_us >> SERVICE_TIME_EWMA_SHIFT)
+            + (took_us >> SERVICE_TIME_EWMA_SHIFT);
+        let drifted_us = self.baseline_us + (self.baseline_us >> BASELINE_DRIFT_SHIFT) + 1;
+        self.baseline_us = drifted_us.min(self.mean_us);
     }
 
-    /// Whether a queue at the backend servers eats up the time of requests.
+    /// Returns true if queues at the backend servers use up the time of requests.
     ///
-    /// Three quarters of the time used up leave no room for the tail. A short deadline
-    /// alone says nothing, or one team's impatience would shut out all others: work
-    /// must also take longer than it does without a queue.
-    fn is_strained(&self, ended: Ended) -> bool {
-        let is_queued = self.mean_us > 2 * self.base_us;
+    /// If three quarters of the time are used up, there is no room for the latency tail. A short
+    /// deadline alone is no evidence, or one team with short deadlines would keep out all others:
+    /// requests must also take longer than without a queue.
+    fn is_overloaded(&self, ended: Ended) -> bool {
+        let is_queued = self.mean_us > 2 * self.baseline_us;
         match ended.ending {
             Ending::Shed => true,
             Ending::Late => is_queued,
@@ -304,18 +305,18 @@
         }
     }
 
-    fn shrink(&mut self, now_ms: u64) {
-        let pause_ms = (self.mean_us / 1000).max(LEAST_SHRINK_PAUSE_MS);
-        if now_ms >= self.strained_at_ms + pause_ms {
-            self.strained_at_ms = now_ms;
-            self.limit_units = (self.limit_units * 3 / 4).max(LIMIT_UNIT);
+    fn reduce_limit(&mut self, now_ms: u64) {
+        let interval_ms = (self.mean_us / 1000).max(MIN_REDUCTION_INTERVAL_MS);
+        if now_ms >= self.reduced_at_ms + interval_ms {
+            self.reduced_at_ms = now_ms;
+            self.limit_units = (self.limit_units * 3 / 4).max(LIMIT_UNITS_PER_REQUEST);
         }
     }
 
     fn refusal(&self, reason: RefusalReason) -> Refusal {
         let queue = self.waiting() as u64 + 1;
         let drain_ms = queue * self.mean_us / u64::from(self.limit()) / 1000;
-        let retry_after_ms = (2 * drain_ms).clamp(LEAST_RETRY_AFTER_MS, MOST_RETRY_AFTER_MS);
+        let retry_after_ms = (2 * drain_ms).clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
         Refusal::not_run(reason, Some(retry_after_ms))
     }
 }
--- a/crates/decide/src/admission/mod.rs
+++ b/crates/decide/src/admission/mod.rs
@@ -1,10 +1,10 @@
-//! Admission of requests: who runs now, who waits, who is refused at once.
+//! Admission control: which requests run now, wait or are refused at once.
 //!
-//! Two rules for two kinds of knowledge. The [`Gate`] bounds the requests of a service by what
-//! it has seen answered in time, and shares them between teams; it needs to know nothing of
-//! the backend servers. [`plan`] goes by what the backend servers say of their queues: which
-//! shards of one request would be late, which of them may be left out, and when the request
-//! is refused as a whole.
+//! There are two rules, for two sources of information. The [`Gate`] limits the requests of a
+//! service by what it has seen answered in time, and divides them between teams; it needs no
+//! information from the backend servers. [`plan`] uses the queue lengths reported by the backend
+//! servers: it determines which shards of one request would be late, which of them may be left out,
+//! and when the request is refused as a whole.
 
 mod gate;
 mod plan;
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -1,4 +1,4 @@
-//! The gate in virtual time: fair, bounded, and never holding anything back.
+//! The admission gate in virtual time: fair, bounded and work-conserving.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +7,8 @@
 const WORK_US: u64 = 20_000;
 const BUDGET_MS: u64 = 200;
 
-/// One gate over servers that finish `capacity` requests in each 20 ms.
-struct World {
+/// Simulation of one gate over servers that need 20 ms for each request.
+struct Simulation {
     gate: Gate,
     now_ms: u64,
     running: Vec<(String, u64, u64)>,
@@ -17,10 +17,10 @@
     refused: BTreeMap<String, u64>,
 }
 
-impl World {
-    fn new(most: u32) -> Self {
+impl Simulation {
+    fn new(max_running: u32) -> Self {
         Self {
-            gate: Gate::new(most),
+            gate: Gate::new(max_running),
             now_ms: 1_000,
             running: Vec::new(),
             waiting: BTreeMap::new(),
@@ -81,46 +81,44 @@
     }
 }
 
-/// Symptom: one team's flood starves another.
-/// Sequence: one team offers ten times the capacity, the other a quarter of it.
-/// Cause: first come, first served.
+/// Guards against first-come, first-served admission, where a team that offers ten times the
+/// capacity starves one that offers a quarter of it.
 #[test]
-fn a_flood_does_not_starve_another_team() {
-    let mut world = World::new(4);
+fn an_overloading_team_does_not_starve_another() {
+    let mut simulation = Simulation::new(4);
     let mut offered = 0;
     for step in 0..4_000 {
-        world.offer("flood", 1);
-        world.offer("flood", 1);
+        simulation.offer("flood", 1);
+        simulation.offer("flood", 1);
         if step % 20 == 0 {
-            world.offer("small", 1);
+            simulation.offer("small", 1);
             offered += 1;
         }
-        world.step();
+        simulation.step();
     }
-    let small = world.done["small"];
-    assert!(small * 100 >= offered * 95, "{small} of {offered}; {:?}", world.refused);
-    assert!(world.done["flood"] > 2 * small, "unused capacity goes to the flood");
+    let small = simulation.done["small"];
+    assert!(small * 100 >= offered * 95, "{small} of {offered}; {:?}", simulation.refused);
+    assert!(simulation.done["flood"] > 2 * small, "unused capacity goes to the flood");
 }
 
-/// Weights split what there is when all teams want more.
+/// If all teams offer more than the capacity, it is divided by their weights.
 #[test]
-fn weights_split_the_capacity() {
-    let mut world = World::new(4);
+fn capacity_is_divided_by_weight() {
+    let mut simulation = Simulation::new(4);
     for _ in 0..8_000 {
-        world.offer("heavy", 3);
-        world.offer("light", 1);
-        world.step();
+        simulation.offer("heavy", 3);
+        simulation.offer("light", 1);
+        simulation.step();
     }
-    let (heavy, light) = (world.done["heavy"], world.done["light"]);
+    let (heavy, light) = (simulation.done["heavy"], simulation.done["light"]);
     assert!(heavy * 10 >= light * 25 && heavy * 10 <= light * 35, "{heavy} to {light}");
 }
 
-/// Symptom: a fresh instance refuses queries though nothing is in its way.
-/// Sequence: the gate stands before the share of connections is known, then the share
-/// grows from one to sixteen.
-/// Cause: the limit stayed at one and grew by one for each answer only.
+/// Guards against a new instance that refuses queries without any load. The gate was created before
+/// the share of connections was known; when the share grew from one to sixteen, the limit stayed at
+/// one and grew by one with each answer only.
 #[test]
-fn an_uncut_limit_follows_the_share() {
+fn an_unreduced_limit_follows_the_share() {
     let mut gate = Gate::new(1);
     gate.set_most(16);
     assert_eq!(gate.limit(), 16);
@@ -128,8 +126,8 @@
     assert_eq!(gate.limit(), 4);
 }
 
-/// A backend that sheds cuts the limit at most once per service time, and the limit
-/// grows back when it stops.
+/// Load shedding reduces the limit at most once per service time, and the limit recovers
+/// afterwards.
 #[test]
 fn the_limit_follows_the_load_and_recovers() {
     let mut gate = Gate::new(16);
