--- a/crates/decide/src/connections.rs
+++ b/crates/decide/src/connections.rs
@@ -1,41 +1,42 @@
-//! How many of a replica's connections an instance may open.
+//! Limits how many connections an instance may open to a replica.
 //!
-//! A replica resets connections beyond its limit, and the requests on them are lost. No
-//! instance knows what the others hold, so each keeps to a part that follows from who there
-//! is: most for the instances of the replica's zone, which send it most of its requests.
+//! A replica resets connections beyond its limit, and the requests on them are lost. No instance
+//! knows how many connections the others hold, so each keeps to a part that follows from the
+//! membership. The largest part goes to instances in the replica's zone, which send it most of its
+//! requests.
 
-/// Connections to a replica that each instance may open whatever the others do.
+/// Number of connections to a replica that each instance may always open.
 pub const LEAST_CONNECTIONS: u32 = 1;
-/// Part of a replica's connections for the instances of its own zone, in hundredths.
+/// Part of a replica's connections for the instances of its own zone, in percent.
 ///
-/// They send it most of its requests, and it works on a few at a time: a connection that only
-/// queues there takes its request away from a replica that is free sooner.
+/// They send it most of its requests. It works on a few at a time: a request that only queues on a
+/// connection there would be served sooner by a replica that becomes free.
 const NEAR_PERCENT: u32 = 24;
-/// Part for all other instances, in hundredths.
+/// Part of a replica's connections for all other instances, in percent.
 ///
-/// Where the replica beside it is lost or slow, an instance needs two of them. What is left, and
-/// what rounding down leaves, is for instances that start while connections of others that have
-/// just died still count.
+/// An instance needs two of them if its local replica is unreachable or slow. The remainder,
+/// including what rounding down leaves, is for instances that start while the connections of others
+/// that have just died still count.
 const FAR_PERCENT: u32 = 56;
-/// Of the instances not heard of yet, one in this many is assumed in any one zone.
+/// Divisor of the number of unknown instances that gives those assumed to be in one zone.
 const UNKNOWN_IN_ZONE_DIVISOR: u32 = 4;
 
-/// The instances, as seen from one of them and for the replicas of one zone.
+/// Membership as seen from one instance, for the replicas of one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Place {
-    /// Whether this instance gathers, in the replicas' zone.
+    /// True if this instance gathers and is in the replicas' zone.
     pub is_near: bool,
-    /// Whether some of that zone gather for its others.
+    /// True if some instances of that zone gather for the others of the zone.
     pub is_sliced: bool,
-    /// Other instances that gather there.
+    /// Number of other gathering instances in that zone.
     pub near_peers: u32,
-    /// Other instances that gather elsewhere.
+    /// Number of other gathering instances in other zones.
     pub far_peers: u32,
-    /// Instances that this one has not heard of yet; they hold connections too.
+    /// Number of instances that are not known yet but hold connections too.
     pub unknown: u32,
 }
 
-/// One instance's part of a replica's connections.
+/// Part of a replica's connections for one instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Part {
     percent: u32,
@@ -43,7 +44,7 @@
 }
 
 impl Part {
-    /// Connections of the part, of `all` that a replica accepts.
+    /// Returns the number of connections for this part if the replica accepts `all`.
     #[must_use]
     pub fn of(self, all: u32) -> u32 {
         (all * self.percent / 100 / self.instances.max(1)).max(LEAST_CONNECTIONS)
@@ -58,7 +59,7 @@
             return Self { percent: NEAR_PERCENT, instances };
         }
         let instances = if is_sliced {
-            // In each zone one instance gathers the shard; the others send next to nothing.
+            // In each zone one instance gathers the shard; the others send hardly anything.
             far_peers.div_ceil(near_peers.max(1)) * 2 + 1 + unknown
         } else {
             far_peers + 1 + unknown
--- a/crates/decide/src/relays.rs
+++ b/crates/decide/src/relays.rs
@@ -1,36 +1,36 @@
-//! Which shards are asked for by way of an instance in their replicas' zone.
+//! Selects the shards that are requested through an instance in the zone of their replicas.
 //!
-//! Parts that cross zones one by one cost a kilobyte and more each; the instance beside
-//! the replicas merges them to the greatest records and sends those once. So the shards
-//! without a replica in the own zone are grouped under as few other zones as possible.
+//! Parts that cross zones individually cost a kilobyte or more each. An instance in the replicas'
+//! zone merges them to the greatest records and sends those once. So shards without a local replica
+//! are grouped into as few other zones as possible.
 
 use std::collections::BTreeMap;
 
 use crate::rendezvous;
 
-/// Fewer shards than this are asked directly where that is as good: the merged answer of
-/// one shard is about as long as its part, and the detour costs time.
+/// Minimum number of shards in a group; smaller groups are requested directly.
+///
+/// The merged answer of one shard is about as long as its part, and the relay adds latency.
 pub const LEAST_GROUP: usize = 2;
 
-/// Shards to be asked for in one zone.
+/// Shards to be requested through one zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Group<'a> {
-    /// The zone.
+    /// Zone of the relaying instance.
     pub zone: &'a str,
     /// Positions of the shards.
     pub shards: Vec<usize>,
 }
 
-/// Replicas that a shard's request may be sent to when it is asked for in `zone`, best
-/// first: positions in `replicas`.
+/// Returns the replicas that a shard's request relayed through `zone` may be sent to, best first.
 ///
-/// The asking instance and the one in `zone` both send second tries, and neither knows
-/// whom the other has chosen. With more replicas than attempts the two together could
-/// reach too many; so the asking one draws them, by the request's id, and says which. That
-/// the other one draws them too isn't enough: lists of replicas differ while they change.
-/// Slow ones come last: the asked instance says which are, since it sends to them. Drawn
-/// blindly, one shard in six had two bad replicas of three while two in five were bad, and no
-/// answer was complete enough.
+/// The result contains positions in `replicas`. The asking instance and the one in `zone` both send
+/// hedges, and neither knows which replicas the other has selected. With more replicas than
+/// attempts, they could together reach too many. So the asking instance selects the replicas by the
+/// request's id and passes them on; a selection by both is not enough, because their lists of
+/// replicas differ during changes. Slow replicas come last, as reported by the relaying instance,
+/// which sends to them. Without this, when two in five replicas were bad, one shard in six got two
+/// bad ones of three, and no answer was complete enough.
 #[must_use]
 pub fn allowed(replicas: &[Place<'_>], zone: &str, attempts: usize, request: u64) -> Vec<usize> {
     let mut order: Vec<usize> = (0..replicas.len()).collect();
@@ -42,39 +42,40 @@
     order
 }
 
-/// Stands for no replica.
+/// Id hash that stands for no replica.
 pub const NO_MARK: u32 = 0;
 
-/// Short mark of a replica's id; of the few replicas of a shard two are hardly ever alike,
-/// and then one more is allowed.
+/// Returns a short hash of a replica's id.
+///
+/// The few replicas of one shard hardly ever collide; a collision permits one more replica.
 #[must_use]
 pub fn mark(id: &str) -> u32 {
     const HALF: u32 = 32;
     u32::try_from(rendezvous::hash(id) >> HALF).unwrap_or(u32::MAX).max(NO_MARK + 1)
 }
 
-/// A replica and its zone.
+/// Replica and its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Place<'a> {
-    /// Its id.
+    /// Id of the replica.
     pub id: &'a str,
-    /// Its zone.
+    /// Availability zone of the replica.
     pub zone: &'a str,
-    /// Whether it was said to be slow.
+    /// True if it was reported as slow.
     pub is_slow: bool,
 }
 
-/// Groups shards by zone; `zones` lists for each shard the zones that could serve it.
+/// Groups shards by zone; `zones` lists the zones that could serve each shard.
 ///
-/// Shards in no group are asked directly; groups have `least` shards or more. The zone
-/// `first` comes first, whatever the others could serve: its answers cross no zones, and each
-/// zone serves its own callers. Without it the zone with most replicas was asked by all.
-/// `turn` rotates which of several equally good zones is taken.
+/// Shards in no group are requested directly; groups have at least `min_shards` shards. The zone
+/// `first` always comes first: its answers cross no zones, and each zone serves its own callers.
+/// Otherwise all instances would ask the zone with the most replicas. `turn` rotates between
+/// equally good zones.
 #[must_use]
 pub fn group<'a>(
     mut zones: BTreeMap<usize, Vec<&'a str>>,
     first: &'a str,
-    least: usize,
+    min_shards: usize,
     turn: u64,
 ) -> Vec<Group<'a>> {
     let in_first = zones.extract_if(.., |_, places| places.contains(&first));
@@ -90,12 +91,12 @@
                 by_zone.entry(zone).or_default().push(shard);
             }
         }
-        let most = by_zone.values().map(Vec::len).max().unwrap_or(0);
-        if most < least.max(1) {
+        let max_shards = by_zone.values().map(Vec::len).max().unwrap_or(0);
+        if max_shards < min_shards.max(1) {
             return groups;
         }
         let best: Vec<(&str, Vec<usize>)> =
-            by_zone.into_iter().filter(|(_, shards)| shards.len() == most).collect();
+            by_zone.into_iter().filter(|(_, shards)| shards.len() == max_shards).collect();
         let index = usize::try_from(turn % best.len() as u64).unwrap_or(0);
         let (zone, shards) = best[index].clone();
         for shard in &shards {
--- a/crates/decide/src/replica.rs
+++ b/crates/decide/src/replica.rs
@@ -1,123 +1,124 @@
-//! Choice of the replica that a part is sent to.
+//! Selection of the replica that a part is sent to.
 
-/// Age in milliseconds at which a reported load counts for nothing any more.
-const REPORT_LIFE_MS: u64 = 200;
-/// Share of a new latency in the running mean, as a power of two.
-const MEAN_SHIFT: u32 = 3;
-/// Score that a failure adds; it halves with every half-life.
+/// Age at which a reported load no longer counts, in milliseconds.
+const MAX_REPORT_AGE_MS: u64 = 200;
+/// Weight of a new latency in the EWMA, as a negative power of two.
+const LATENCY_EWMA_SHIFT: u32 = 3;
+/// Cost added by a failure, in microseconds; it decays with [`PENALTY_HALF_LIFE_MS`].
 const FAILURE_PENALTY_US: u64 = 200_000;
-/// Score that the first exchange given up adds; it doubles with each in a row.
-const OUTRUN_PENALTY_US: u64 = 5_000;
-/// Doublings after which it stays the same.
-const MOST_DOUBLINGS: u32 = 6;
-/// Time in which a failure's penalty halves, in milliseconds.
+/// Cost added by the first abandoned exchange, in microseconds; doubles with each consecutive one.
+const ABANDONED_PENALTY_US: u64 = 5_000;
+/// Number of doublings after which that cost no longer grows.
+const MAX_DOUBLINGS: u32 = 6;
+/// Half-life of the penalty, in milliseconds.
 const PENALTY_HALF_LIFE_MS: u64 = 250;
 
-/// What one traffic thread knows of a replica's load.
+/// Load and latency of a replica, as seen by one traffic thread.
 #[derive(Debug, Clone, Default)]
 pub struct Load {
-    /// Own requests in progress there.
+    /// Number of this thread's requests in progress at the replica.
     pub outstanding: u32,
     mean_us: u64,
     reported: u32,
-    reported_ms: u64,
+    reported_at_ms: u64,
     penalty_us: u64,
-    penalty_ms: u64,
-    /// Exchanges in a row that were given up.
-    unanswered: u32,
+    penalty_at_ms: u64,
+    /// Number of consecutive abandoned exchanges.
+    consecutive_abandoned: u32,
 }
 
 impl Load {
-    /// Notes an answer: how long it took and how many requests it reported.
+    /// Records an answer with its latency and the number of requests that it reported.
     pub fn answered(&mut self, latency_us: u64, reported: Option<u32>, now_ms: u64) {
         if self.mean_us == 0 {
             self.mean_us = latency_us;
         }
-        self.blend(latency_us);
-        self.unanswered = 0;
+        self.record_latency(latency_us);
+        self.consecutive_abandoned = 0;
         if let Some(load) = reported {
             self.reported = load;
-            self.reported_ms = now_ms;
+            self.reported_at_ms = now_ms;
         }
     }
 
-    /// Notes that another replica answered first, or none did before the cut-off.
+    /// Records that another replica answered first, or none did before the timeout.
     ///
-    /// The exchange was given up, so its latency is only known to be more than
-    /// `elapsed_us`. Left out, a slow replica would look as fast as its few answers
-    /// that were in time, and would go on being chosen. Several in a row without an
-    /// answer weigh more and more, so that a lost replica is soon left alone.
+    /// The exchange was abandoned, so its latency is only known to exceed `elapsed_us`. If it were
+    /// ignored, a slow replica would look as fast as its few timely answers and would still be
+    /// selected. Consecutive exchanges without an answer weigh more and more, so that an
+    /// unreachable replica is soon avoided.
     pub fn outrun(&mut self, elapsed_us: u64, now_ms: u64) {
         if elapsed_us > self.mean_us {
-            self.blend(elapsed_us);
+            self.record_latency(elapsed_us);
         }
-        let step = self.unanswered.min(MOST_DOUBLINGS);
-        self.unanswered = self.unanswered.saturating_add(1);
-        self.add_penalty(OUTRUN_PENALTY_US << step, now_ms);
+        let doublings = self.consecutive_abandoned.min(MAX_DOUBLINGS);
+        self.consecutive_abandoned = self.consecutive_abandoned.saturating_add(1);
+        self.add_penalty(ABANDONED_PENALTY_US << doublings, now_ms);
     }
 
-    /// Notes that the replica shed, failed or fell silent.
+    /// Records that the replica shed a request, failed or timed out.
     pub fn failed(&mut self, now_ms: u64) {
         self.add_penalty(FAILURE_PENALTY_US, now_ms);
     }
 
     fn add_penalty(&mut self, added_us: u64, now_ms: u64) {
         self.penalty_us = self.penalty_us(now_ms) + added_us;
-        self.penalty_ms = now_ms;
+        self.penalty_at_ms = now_ms;
     }
 
-    fn blend(&mut self, latency_us: u64) {
-        self.mean_us = self.mean_us - (self.mean_us >> MEAN_SHIFT) + (latency_us >> MEAN_SHIFT);
+    fn record_latency(&mut self, latency_us: u64) {
+        self.mean_us = self.mean_us - (self.mean_us >> LATENCY_EWMA_SHIFT)
+            + (latency_us >> LATENCY_EWMA_SHIFT);
     }
 
-    /// Expected cost of one more request here; the lowest wins.
+    /// Returns the expected cost of one more request, in microseconds; the lowest is selected.
     ///
-    /// Own outstanding requests are exact and count in full. The reported load
-    /// includes them and lags, so only the surplus counts, fading with its age:
-    /// a report that lies or stopped changing loses its weight.
+    /// This thread's outstanding requests are exact and count in full. The reported load includes
+    /// them and lags behind, so only the excess counts, with a weight that decreases with its age:
+    /// a wrong or stale report loses its effect.
     #[must_use]
     pub fn cost_us(&self, slots: u32, now_ms: u64) -> u64 {
-        let age_ms = now_ms.saturating_sub(self.reported_ms);
-        let others = u64::from(self.reported.saturating_sub(self.outstanding));
-        let fresh = REPORT_LIFE_MS.saturating_sub(age_ms);
-        let others_milli = others * 1000 * fresh / REPORT_LIFE_MS;
-        let queue_milli = u64::from(self.outstanding) * 1000 + others_milli;
+        let age_ms = now_ms.saturating_sub(self.reported_at_ms);
+        let excess = u64::from(self.reported.saturating_sub(self.outstanding));
+        let freshness_ms = MAX_REPORT_AGE_MS.saturating_sub(age_ms);
+        let excess_milli = excess * 1000 * freshness_ms / MAX_REPORT_AGE_MS;
+        let queue_milli = u64::from(self.outstanding) * 1000 + excess_milli;
         let per_slot_milli = queue_milli / u64::from(slots.max(1));
         let mean_us = self.mean_us.max(1);
         mean_us + mean_us * per_slot_milli / 1000 + self.penalty_us(now_ms)
     }
 
     fn penalty_us(&self, now_ms: u64) -> u64 {
-        let halvings = now_ms.saturating_sub(self.penalty_ms) / PENALTY_HALF_LIFE_MS;
+        let halvings = now_ms.saturating_sub(self.penalty_at_ms) / PENALTY_HALF_LIFE_MS;
         self.penalty_us.checked_shr(u32::try_from(halvings).unwrap_or(u32::MAX)).unwrap_or(0)
     }
 }
 
-/// One replica that could take a part.
+/// Replica that could serve a part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate {
-    /// Position in the caller's own list.
+    /// Position in the list of the calling code.
     pub index: usize,
-    /// Cost as of [`Load::cost_us`].
+    /// Cost as returned by [`Load::cost_us`].
     pub cost_us: u64,
-    /// Whether it is in this instance's availability zone.
+    /// True if the replica is in this instance's availability zone.
     pub is_near: bool,
 }
 
-/// Ways to choose among candidates; all but one are kept for comparison.
+/// Selection policy; all but the default are kept for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Choice {
-    /// Least expected cost; a far replica costs one way and back more.
+    /// Lowest expected cost; a replica in another zone costs [`CROSS_ZONE_COST_US`] more.
     #[default]
     LeastCost,
-    /// Any, with equal chances.
+    /// Uniformly random.
     Random,
 }
 
-/// Cost in microseconds of crossing to another availability zone and back.
-pub const FAR_COST_US: u64 = 1000;
+/// Cost of the round trip to another availability zone, in microseconds.
+pub const CROSS_ZONE_COST_US: u64 = 1000;
 
-/// Picks a replica; `random` breaks ties.
+/// Selects a replica; `random` breaks ties.
 #[must_use]
 pub fn pick(candidates: &[Candidate], choice: Choice, random: u64) -> Option<usize> {
     if candidates.is_empty() {
@@ -127,7 +128,7 @@
     if choice == Choice::Random {
         return Some(candidates[start].index);
     }
-    let cost = |c: &Candidate| c.cost_us + if c.is_near { 0 } else { FAR_COST_US };
-    let turned = candidates[start..].iter().chain(&candidates[..start]);
-    turned.min_by_key(|c| cost(c)).map(|c| c.index)
+    let cost = |c: &Candidate| c.cost_us + if c.is_near { 0 } else { CROSS_ZONE_COST_US };
+    let rotated = candidates[start..].iter().chain(&candidates[..start]);
+    rotated.min_by_key(|c| cost(c)).map(|c| c.index)
 }
--- a/crates/decide/src/route.rs
+++ b/crates/decide/src/route.rs
@@ -1,87 +1,87 @@
-//! Routes: which service, or which shards, a caller's request goes to.
+//! Routes from a caller's request to a service or to shards.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-/// One service of a weighted split.
+/// Service in a weighted split.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Weighted {
     /// Name of the service.
     pub service: Arc<str>,
-    /// Its part of the requests, relative to the others'.
+    /// Share of the requests, relative to the other weights.
     pub weight: f64,
 }
 
-/// Where the requests of a route go.
+/// Target of the requests of a route.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Target {
-    /// To one replica of one service.
+    /// One replica of one service.
     Service(Arc<str>),
-    /// To one replica of one of several services, chosen by weight.
+    /// One replica of one of several services, selected by weight.
     Split(Vec<Weighted>),
-    /// To one replica of each shard; every shard is a service of its own.
+    /// One replica of each shard; every shard is a separate service.
     Shards(Arc<[Arc<str>]>),
 }
 
-/// One route of the configuration.
+/// Route of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name, for logs and metrics.
+    /// Name for logs and metrics.
     pub name: Arc<str>,
-    /// Host that callers name, in lower case.
+    /// Host in the requests of callers, in lower case.
     pub host: String,
-    /// Start of the path; begins and ends with a slash.
+    /// Prefix of the path; begins and ends with a slash.
     pub path_prefix: String,
-    /// Where its requests go.
+    /// Target of its requests.
     pub target: Target,
-    /// Whether a request may run more than once.
+    /// True if a request may run more than once.
     pub is_idempotent: bool,
-    /// Replicas that one request may be sent to, for each shard.
+    /// Maximum number of replicas per shard that one request may be sent to.
     pub attempts: usize,
-    /// Longest time that a caller is kept waiting, in milliseconds.
+    /// Maximum time until a caller gets an answer, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Latency within which an answer has its full value, in milliseconds.
     pub target_latency_ms: u64,
-    /// Rank, where 0 is the most urgent.
+    /// Priority, where 0 is the most urgent.
     pub rank: u32,
-    /// Records of a merged answer.
+    /// Number of records in a merged answer.
     pub top_k: usize,
-    /// Least share of the shards that an answer must cover, 0 to 1.
+    /// Minimum fraction of the shards that an answer must cover, from 0 to 1.
     pub least_share: f64,
-    /// Regions in which its requests may run; none for anywhere.
+    /// Regions in which its requests may run; empty for no restriction.
     pub home_regions: Arc<[Arc<str>]>,
 }
 
 impl Route {
-    /// Shards that an answer must cover at least, of `total`.
+    /// Returns the minimum number of `total` shards that an answer must cover.
     #[must_use]
     pub fn least_shards(&self, total: usize) -> usize {
-        // Rounding must not lift 0.9 x 10 = 9.000001 to 10.
-        const ROUNDING: f64 = 1e-9;
+        // A rounding error must not raise 0.9 x 10 = 9.000001 to 10.
+        const ROUNDING_ERROR_SHARDS: f64 = 1e-9;
         let exact = self.least_share * f64::from(u32::try_from(total).unwrap_or(u32::MAX));
-        let mut least = 1;
-        while f64::from(u32::try_from(least).unwrap_or(u32::MAX)) + ROUNDING < exact {
-            least += 1;
+        let mut count = 1;
+        while f64::from(u32::try_from(count).unwrap_or(u32::MAX)) + ROUNDING_ERROR_SHARDS < exact {
+            count += 1;
         }
-        least
+        count
     }
 }
 
-/// What callers may send, and how long they may take or stay idle.
+/// Size limits and timeouts for callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest head of a request in bytes.
+    /// Maximum size of a request head in bytes.
     pub max_header_bytes: usize,
-    /// Largest body of a request in bytes.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a head to arrive, in milliseconds.
+    /// Timeout for receiving a request head, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Longest time for which a connection may stay idle, in milliseconds.
+    /// Timeout for idle connections, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// Generous bounds until a configuration says its own.
+    /// Generous limits that apply until a configuration sets its own.
     fn default() -> Self {
         Self {
             max_header_bytes: 16 << 10,
@@ -92,33 +92,33 @@
     }
 }
 
-/// What the configuration says of a service.
+/// Settings of a service in the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceLimits {
-    /// Connections that one of its replicas accepts from all instances together.
+    /// Number of connections that one replica accepts from all instances together.
     pub max_connections: u32,
-    /// Path of its health check.
+    /// Path of the health check.
     pub health_path: String,
     /// Time for which a replica is cold after its start, in milliseconds.
     pub warm_up_ms: u64,
-    /// Requests that a cold replica stands, in thousandths of one a second; 0 for no bound.
+    /// Rate limit of a cold replica, in thousandths of a request per second; 0 for no limit.
     pub cold_rate_milli: u64,
 }
 
-/// One version of the operators' configuration.
+/// Version of the operators' configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Configuration {
-    /// Its version; versions only grow.
+    /// Version number, which only increases.
     pub version: u64,
-    /// Its routes.
+    /// Routes.
     pub routes: Vec<Arc<Route>>,
-    /// Its services by name.
+    /// Services by name.
     pub services: BTreeMap<Arc<str>, ServiceLimits>,
-    /// Bounds on callers.
+    /// Limits for callers.
     pub limits: CallerLimits,
 }
 
-/// Routes by host, the longest prefix first.
+/// Routes by host, with the longest prefix first.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
     by_host: HashMap<String, Vec<Arc<Route>>>,
@@ -138,7 +138,7 @@
 }
 
 impl RouteTable {
-    /// The route of `host` with the longest prefix that begins `path`.
+    /// Returns the route of `host` with the longest matching prefix of `path`.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = without_port(host).to_ascii_lowercase();
@@ -153,27 +153,27 @@
     }
 }
 
-/// Deals requests to the services of a split in the proportion of their weights.
+/// Smooth weighted round robin over the services of a split.
 ///
-/// Each service's credit grows by its weight; the highest is served and pays the sum.
-/// After any number of requests each service is within one request of its part, where
-/// random choice would need thousands to come that near.
+/// The credit of each service grows by its weight; the service with the highest credit is selected
+/// and pays the sum of the weights. After any number of requests, each service is within one
+/// request of its share. Random selection would need thousands of requests to come as close.
 #[derive(Debug, Clone, Default)]
 pub struct Dealer {
     credits: HashMap<Arc<str>, f64>,
 }
 
 impl Dealer {
-    /// The service of `split` that is next.
+    /// Returns the next service of `split`.
     pub fn next(&mut self, split: &[Weighted]) -> Option<Arc<str>> {
         let total: f64 = split.iter().map(|w| w.weight).sum();
         self.credits.retain(|service, _| split.iter().any(|w| w.service == *service));
-        for part in split {
-            *self.credits.entry(Arc::clone(&part.service)).or_default() += part.weight;
+        for weighted in split {
+            *self.credits.entry(Arc::clone(&weighted.service)).or_default() += weighted.weight;
         }
         let credit = |w: &&Weighted| self.credits.get(&w.service).copied().unwrap_or_default();
-        let served = split.iter().filter(|w| w.weight > 0.0);
-        let chosen = served.max_by(|a, b| credit(a).total_cmp(&credit(b)))?;
+        let eligible = split.iter().filter(|w| w.weight > 0.0);
+        let chosen = eligible.max_by(|a, b| credit(a).total_cmp(&credit(b)))?;
         let chosen = Arc::clone(&chosen.service);
         if let Some(credit) = self.credits.get_mut(&chosen) {
             *credit -= total;
--- a/crates/decide/tests/homes.rs
+++ b/crates/decide/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Where requests with home regions may go.
+//! Zones that requests with home regions may be sent to.
 
 use std::sync::Arc;
 
--- a/crates/decide/tests/invariants.rs
+++ b/crates/decide/tests/invariants.rs
@@ -11,10 +11,10 @@
 use eelgrasspier_decide::share;
 use eelgrasspier_decide::snapshot::{Catalogue, Held};
 
-/// Whatever the members and the limit, shares of one replica never exceed it, and a
-/// replica with enough connections leaves nobody without one.
+/// For any members and limit, the shares of one replica never exceed the limit, and if there are
+/// enough connections every member gets one.
 #[test]
-fn shares_of_one_list_fit() {
+fn connection_shares_stay_within_the_limit() {
     arbtest(|u| {
         let members: BTreeSet<u64> = u.arbitrary()?;
         let members: Vec<u64> = members.into_iter().collect();
@@ -32,9 +32,9 @@
     });
 }
 
-/// The extra work that a budget allows is bounded by the ordinary work and the burst.
+/// Extra work is bounded by a percentage of the ordinary work plus the burst.
 #[test]
-fn budgets_bound_extra_work() {
+fn extra_work_stays_within_the_budget() {
     arbtest(|u| {
         let percent = u.int_in_range(0..=100)?;
         let burst = u.int_in_range(0..=50)?;
@@ -54,8 +54,8 @@
     });
 }
 
-/// A key that was claimed is never granted to another attempt, whatever happens to
-/// the bucket, unless its holder gave it back.
+/// A claimed key is never granted to another attempt, whatever is applied to the bucket, unless its
+/// holder released it.
 #[test]
 fn a_claimed_key_is_never_granted_again() {
     arbtest(|u| {
@@ -73,10 +73,9 @@
     });
 }
 
-/// A chosen snapshot is complete if any complete one is held by all dependencies, and
-/// then no newer one is.
+/// The selected snapshot is the newest complete one that all dependencies hold, if there is any.
 #[test]
-fn the_newest_complete_snapshot_is_chosen() {
+fn the_newest_complete_snapshot_is_selected() {
     arbtest(|u| {
         let mut catalogue = Catalogue::default();
         let mut reports = Vec::new();
@@ -109,23 +108,23 @@
 fn quantiles_are_close_from_above() {
     arbtest(|u| {
         let mut quantile = Quantile::default();
-        let mut all: Vec<u64> = Vec::new();
+        let mut values: Vec<u64> = Vec::new();
         for _ in 0..200 {
             let value = u64::from(u.int_in_range(1..=1_000_000_u32)?);
             quantile.record(value);
-            all.push(value);
+            values.push(value);
         }
-        all.sort_unstable();
-        let truth = all[all.len() * 9 / 10];
+        values.sort_unstable();
+        let truth = values[values.len() * 9 / 10];
         let tracked = quantile.value_us(900).expect("enough parts");
         assert!(tracked >= truth && tracked <= truth + truth / 8 + 2, "{tracked} for {truth}");
         Ok(())
     });
 }
 
-/// The pick is one of the candidates, and by least cost none is cheaper.
+/// The selected replica is one of the candidates, and by lowest cost none is cheaper.
 #[test]
-fn the_cheapest_candidate_is_picked() {
+fn the_cheapest_candidate_is_selected() {
     arbtest(|u| {
         let count = u.int_in_range(0..=5)?;
         let mut candidates = Vec::new();
@@ -141,14 +140,15 @@
     });
 }
 
-/// Any text is either accepted or refused with at least one error whose line exists.
+/// Any text is either accepted or rejected with at least one error, each with an existing line.
 #[test]
-fn any_text_is_read_or_refused_with_a_line() {
+fn any_text_is_accepted_or_rejected_with_a_line() {
     arbtest(|u| {
-        let pieces = ["[a]\n", "[b]\n", "shard.0 = z@1.2.3.4:5\n", "depends_on = b\n", "x", "=\n"];
+        let fragments =
+            ["[a]\n", "[b]\n", "shard.0 = z@1.2.3.4:5\n", "depends_on = b\n", "x", "=\n"];
         let mut text = String::new();
         for _ in 0..u.int_in_range(0..=12)? {
-            text.push_str(u.choose(&pieces)?);
+            text.push_str(u.choose(&fragments)?);
         }
         if let Err(errors) = Services::try_from(text.as_str()) {
             let lines = text.lines().count().max(1);
--- a/crates/decide/tests/routes.rs
+++ b/crates/decide/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes: the longest prefix of the host, splits, least shares.
+//! Route lookup by host and longest prefix, weighted splits, and minimum coverage.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,31 +22,30 @@
     })
 }
 
-fn found(table: &RouteTable, host: &str, path: &str) -> Option<String> {
+fn find_name(table: &RouteTable, host: &str, path: &str) -> Option<String> {
     table.find(host, path).map(|r| r.name.to_string())
 }
 
-/// Symptom: requests on near names were run by another service.
-/// Sequence: a path matched although its host was another, or a prefix without its end.
-/// Cause it guards against: matching the path alone.
+/// Guards against running requests for similar names on another service: a path under another host,
+/// or a prefix without its final slash, must not match.
 #[test]
-fn the_longest_prefix_of_the_host_is_found_and_no_near_name() {
+fn only_the_longest_prefix_of_the_host_matches() {
     let routes = vec![
         route("short", "h.example", "/a/"),
         route("long", "h.example", "/a/b/"),
         route("other", "x", "/a/"),
     ];
     let table = RouteTable::from(&Configuration { routes, ..Configuration::default() });
-    assert_eq!(found(&table, "h.example", "/a/b/c").as_deref(), Some("long"));
-    assert_eq!(found(&table, "H.Example:80", "/a/bc").as_deref(), Some("short"));
-    assert_eq!(found(&table, "x", "/a/b/c").as_deref(), Some("other"));
+    assert_eq!(find_name(&table, "h.example", "/a/b/c").as_deref(), Some("long"));
+    assert_eq!(find_name(&table, "H.Example:80", "/a/bc").as_deref(), Some("short"));
+    assert_eq!(find_name(&table, "x", "/a/b/c").as_deref(), Some("other"));
     for (host, path) in [("h.example", "/a"), ("h.example", "/ab/"), ("y", "/a/"), ("", "/a/")] {
-        assert_eq!(found(&table, host, path), None, "{host}{path}");
+        assert_eq!(find_name(&table, host, path), None, "{host}{path}");
     }
 }
 
 #[test]
-fn a_split_is_dealt_within_one_request_of_its_weights() {
+fn a_split_stays_within_one_request_of_its_weights() {
     let split = [("a", 5.0), ("b", 3.0), ("c", 2.0), ("none", 0.0)]
         .map(|(service, weight)| Weighted { service: service.into(), weight });
     let mut dealer = Dealer::default();
@@ -64,12 +63,12 @@
 }
 
 #[test]
-fn the_least_shards_are_rounded_up_and_never_by_an_error_of_rounding() {
-    let with = |least_share| Route { least_share, ..(*route("r", "h", "/")).clone() };
-    assert_eq!(with(0.89).least_shards(20), 18);
-    assert_eq!(with(0.75).least_shards(20), 15);
-    assert_eq!(with(0.95).least_shards(90), 86);
-    assert_eq!(with(0.9).least_shards(10), 9);
-    assert_eq!(with(0.0).least_shards(10), 1);
-    assert_eq!(with(1.0).least_shards(30), 30);
+fn minimum_coverage_is_rounded_up_without_rounding_errors() {
+    let with_least_share = |least_share| Route { least_share, ..(*route("r", "h", "/")).clone() };
+    assert_eq!(with_least_share(0.89).least_shards(20), 18);
+    assert_eq!(with_least_share(0.75).least_shards(20), 15);
+    assert_eq!(with_least_share(0.95).least_shards(90), 86);
+    assert_eq!(with_least_share(0.9).least_shards(10), 9);
+    assert_eq!(with_least_share(0.0).least_shards(10), 1);
+    assert_eq!(with_least_share(1.0).least_shards(30), 30);
 }
