--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -1,41 +1,45 @@
-//! A budget that is paid in by ordinary work and spent by extra work.
+//! Token bucket that is filled by ordinary work and spent by extra work.
 
-/// Thousandths of a unit of work, so that the account stays in whole numbers.
+/// Thousandths of a unit of work, so that the balance stays an integer.
 type Milli = u64;
 
-/// One whole unit of work.
-const UNIT: Milli = 1000;
+/// One unit of work.
+const UNIT_MILLI: Milli = 1000;
 
-/// Account of extra work, such as hedges and retries.
+/// Token bucket for extra work, such as hedges and retries.
 #[derive(Debug, Clone)]
 pub struct Budget {
-    /// Paid in for each unit of ordinary work.
-    rate: Milli,
-    /// Most that can be saved.
-    cap: Milli,
-    balance: Milli,
+    /// Tokens earned per unit of ordinary work.
+    rate_milli: Milli,
+    /// Maximum balance.
+    cap_milli: Milli,
+    balance_milli: Milli,
 }
 
 impl Budget {
-    /// An account that allows `percent` of extra work, and `burst` at once.
+    /// Creates a budget that allows `percent` of extra work and a burst of `burst` units.
     #[must_use]
     pub fn new(percent: u32, burst: u32) -> Self {
         const MILLI_PER_PERCENT: u64 = 10;
-        let cap = if percent == 0 { 0 } else { u64::from(burst) * UNIT };
-        Self { rate: u64::from(percent) * MILLI_PER_PERCENT, cap, balance: cap }
+        let cap_milli = if percent == 0 { 0 } else { u64::from(burst) * UNIT_MILLI };
+        Self {
+            rate_milli: u64::from(percent) * MILLI_PER_PERCENT,
+            cap_milli,
+            balance_milli: cap_milli,
+        }
     }
 
-    /// Notes one unit of ordinary work.
+    /// Adds the tokens for one unit of ordinary work.
     pub fn earn(&mut self) {
-        self.balance = (self.balance + self.rate).min(self.cap);
+        self.balance_milli = (self.balance_milli + self.rate_milli).min(self.cap_milli);
     }
 
-    /// Takes one unit of extra work; returns whether there was one.
+    /// Takes one unit of extra work; returns false if the balance does not suffice.
     pub fn spend(&mut self) -> bool {
-        if self.balance < UNIT {
+        if self.balance_milli < UNIT_MILLI {
             return false;
         }
-        self.balance -= UNIT;
+        self.balance_milli -= UNIT_MILLI;
         true
     }
 }
--- a/crates/decide/src/leaving.rs
+++ b/crates/decide/src/leaving.rs
@@ -1,47 +1,47 @@
-//! Backend servers that are leaving, learnt in band and spread by gossip.
+//! Draining backend servers, learned from their responses and spread by gossip.
 
 use std::collections::BTreeMap;
 
-/// How long a leaving server is remembered after it was last heard of.
-pub const REMEMBER_MS: u64 = 10 * 60 * 1000;
+/// Retention of a draining server after its last report, in milliseconds.
+pub const RETENTION_MS: u64 = 10 * 60 * 1000;
 
-/// Leaving backend servers with the time until which each is remembered.
+/// Draining backend servers with their expiry times.
 ///
-/// A server is known by the hash of its address and its own start time, so that
-/// a successor on the same address is not taken for the one that left.
+/// A server is identified by the hash of its address and its start time, so that a successor at the
+/// same address is not mistaken for the one that left.
 #[derive(Debug, Clone, Default)]
 pub struct Leaving {
-    until_ms: BTreeMap<Server, u64>,
+    expires_at_ms: BTreeMap<Server, u64>,
 }
 
-/// Identity of one run of a backend server.
+/// Identity of one incarnation of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Server {
-    /// Hash of its address.
+    /// Hash of the address.
     pub replica: u64,
-    /// Its start time, as it says itself; 0 where it says none.
+    /// Start time as reported by the server; 0 if it reports none.
     pub incarnation: u64,
 }
 
 impl Leaving {
-    /// Notes that `server` says it is leaving; returns whether that is news.
+    /// Records that `server` is draining; returns true if this was not known.
     pub fn note(&mut self, server: Server, now_ms: u64) -> bool {
-        self.until_ms.insert(server, now_ms + REMEMBER_MS).is_none()
+        self.expires_at_ms.insert(server, now_ms + RETENTION_MS).is_none()
     }
 
-    /// Whether this run of the server is leaving.
+    /// Returns true if this incarnation of the server is draining.
     #[must_use]
     pub fn contains(&self, server: Server) -> bool {
-        self.until_ms.contains_key(&server)
+        self.expires_at_ms.contains_key(&server)
     }
 
-    /// Forgets servers that were last heard of long ago.
+    /// Removes servers whose retention has expired.
     pub fn expire(&mut self, now_ms: u64) {
-        self.until_ms.retain(|_, until_ms| *until_ms > now_ms);
+        self.expires_at_ms.retain(|_, expires_at_ms| *expires_at_ms > now_ms);
     }
 
-    /// All servers known to be leaving.
+    /// Returns all servers known to be draining.
     pub fn iter(&self) -> impl Iterator<Item = Server> + '_ {
-        self.until_ms.keys().copied()
+        self.expires_at_ms.keys().copied()
     }
 }
--- a/crates/decide/src/snapshot.rs
+++ b/crates/decide/src/snapshot.rs
@@ -1,60 +1,59 @@
-//! Choice of the one snapshot that a query is answered from.
+//! Selection of the snapshot that a query is pinned to.
 //!
-//! A snapshot is an index version together with its partition map, that is, how
-//! many shards the index has in that version. Replicas say in their own answers
-//! which versions they hold. A query pinned to one version never mixes parts of
-//! two, also while versions roll and shards are split.
+//! A snapshot is an index version together with its partition map, that is, the number of shards of
+//! the index in that version. Replicas report the versions they hold in their answers. A query
+//! pinned to one version never mixes parts of two, even during version changes and shard splits.
 
 use std::collections::BTreeMap;
 
 use crate::prelude::{IndexVersion, ShardId};
 
-/// One version that a replica holds, with the partition map it belongs to.
+/// Version that a replica holds, with the partition map it belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Held {
-    /// The index version.
+    /// Index version.
     pub version: IndexVersion,
     /// Number of shards of the index in that version.
     pub shard_count: u32,
 }
 
-/// The snapshot that a query is pinned to.
+/// Snapshot that a query is pinned to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The index version of every part.
+    /// Index version of every part.
     pub version: IndexVersion,
-    /// Number of shards that make up the whole picture.
+    /// Number of shards of a complete answer.
     pub shard_count: u32,
     /// Number of shards with a usable replica that holds the version.
     pub reachable: u32,
 }
 
 impl Snapshot {
-    /// Whether every shard can be reached at this version.
+    /// Returns true if every shard is reachable at this version.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.reachable == self.shard_count
     }
 }
 
-/// What the usable replicas of one service hold, shard by shard.
+/// Versions held by the usable replicas of one service, per shard.
 #[derive(Debug, Clone, Default)]
 pub struct Catalogue {
     shards_by_held: BTreeMap<Held, Vec<ShardId>>,
 }
 
 impl Catalogue {
-    /// Notes that a usable replica of `shard` holds `held`.
+    /// Records that a usable replica of `shard` holds `held`.
     pub fn add(&mut self, shard: ShardId, held: &[Held]) {
-        for &one in held {
-            let shards = self.shards_by_held.entry(one).or_default();
-            if shard < one.shard_count && !shards.contains(&shard) {
+        for &version in held {
+            let shards = self.shards_by_held.entry(version).or_default();
+            if shard < version.shard_count && !shards.contains(&shard) {
                 shards.push(shard);
             }
         }
     }
 
-    /// The snapshots that some shard holds, newest first.
+    /// Returns the snapshots that any shard holds, newest first.
     pub fn snapshots(&self) -> impl Iterator<Item = Snapshot> + '_ {
         self.shards_by_held.iter().rev().map(|(held, shards)| Snapshot {
             version: held.version,
@@ -63,29 +62,31 @@
         })
     }
 
-    /// Whether every shard holds `version` in one partition map.
+    /// Returns true if every shard of one partition map holds `version`.
     #[must_use]
     pub fn is_complete_at(&self, version: IndexVersion) -> bool {
         self.snapshots().any(|s| s.version == version && s.is_complete())
     }
 
-    /// Newest complete snapshot that the dependencies hold too, else the fullest.
+    /// Returns the newest complete snapshot that all dependencies hold, or else the most complete
+    /// one.
     ///
-    /// An incomplete snapshot is chosen only where no complete one is left: the
-    /// answer then names the missed shards. Between equals the newer one wins.
+    /// An incomplete snapshot is selected only if there is no complete one that the dependencies
+    /// hold. The answer then names the missing shards. Among equally complete snapshots, the newest
+    /// is used.
     #[must_use]
     pub fn choose(&self, dependencies: &[&Self]) -> Option<Snapshot> {
         let holds = |s: &Snapshot| dependencies.iter().all(|d| d.is_complete_at(s.version));
-        self.snapshots().find(|s| s.is_complete() && holds(s)).or_else(|| self.fullest())
+        self.snapshots().find(|s| s.is_complete() && holds(s)).or_else(|| self.most_complete())
     }
 
-    /// The snapshot at `version`, where any shard holds it.
+    /// Returns the snapshot at `version`, if any shard holds it.
     #[must_use]
     pub fn at(&self, version: IndexVersion) -> Option<Snapshot> {
         self.snapshots().find(|s| s.version == version)
     }
 
-    fn fullest(&self) -> Option<Snapshot> {
+    fn most_complete(&self) -> Option<Snapshot> {
         // Compares reachable / shard_count without division.
         self.snapshots().fold(None, |best: Option<Snapshot>, s| match best {
             Some(b)
--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold.rs
@@ -1,4 +1,4 @@
-//! What a cold replica gets from all instances together.
+//! Rate limit of a cold replica over all instances.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,18 +8,17 @@
 const BOUNDS: ColdBounds = ColdBounds { over_milli: 1_500, slack: 5 };
 
 #[test]
-fn a_keeper_lets_out_the_rate_and_half_of_the_bound_at_the_most() {
+fn a_keeper_permits_the_rate_but_at_most_half_of_the_limit() {
     assert_eq!(share(4_000, BOUNDS), Some(4));
-    // 20 x 1.5 + 5 = 35 for two of them.
+    // 20 x 1.5 + 5 = 35 for two keepers.
     assert_eq!(share(20_000, BOUNDS), Some(17));
     assert_eq!(share(500, BOUNDS), Some(1), "one in two seconds is one in some second");
     assert_eq!(share(500, ColdBounds::default()), Some(0), "any request would be too many");
     assert_eq!(share(0, BOUNDS), None, "no rate is no bound");
 }
 
-/// Symptom: a cold replica got twice what it stands within one second.
-/// Sequence: requests went out at the end of one second and at the start of the next.
-/// Cause it guards against: seconds that are counted from a clock in place of sliding ones.
+/// Guards against counting in fixed instead of sliding seconds, where requests at the end of one
+/// second and at the start of the next give a cold replica twice its limit.
 #[test]
 fn no_sliding_second_has_more_than_the_share() {
     arbtest::arbtest(|u| {
@@ -47,11 +46,11 @@
     zones.iter().map(|(zone, keys)| ((*zone).into(), keys.to_vec())).collect()
 }
 
-/// Symptom: a cold replica got the share of three instances within a second.
-/// Sequence: its keeper was killed and started again, while another had taken its place.
-/// Cause: nobody waited until what others had sent was out of the second.
+/// Guards against keepers that do not wait until the requests of others have left the window. A
+/// keeper was killed and restarted while another had replaced it, and the replica got the share of
+/// three instances within a second.
 #[test]
-fn keepers_wait_after_each_change_among_them() {
+fn keepers_wait_after_each_membership_change() {
     let mut settled = Settled::default();
     settled.note(keys(&[("a", &[1, 2]), ("b", &[3])]), 0);
     assert!(!settled.is_settled(Some("a"), 999));
@@ -61,15 +60,15 @@
     settled.note(keys(&[("a", &[1]), ("b", &[3])]), 3_000);
     assert!(!settled.is_settled(Some("a"), 3_999));
     assert!(settled.is_settled(Some("b"), 3_999), "nothing has changed there");
-    // All of the zone are lost, and those of the others stand in.
+    // All instances of the zone are unreachable, and those of other zones stand in.
     settled.note(keys(&[("b", &[3])]), 5_000);
     assert!(!settled.is_settled(None, 5_999));
     assert!(settled.is_settled(None, 6_000));
 }
 
-/// Sequence: an instance is cut off and goes on for itself, while another takes its place.
+/// Guards against a partitioned instance that continues as keeper while another has replaced it.
 #[test]
-fn an_instance_that_hears_nobody_lets_nothing_out() {
+fn a_partitioned_instance_permits_nothing() {
     assert!(is_in_touch(78, Some(10_000), 11_499));
     assert!(!is_in_touch(78, Some(10_000), 11_500));
     assert!(!is_in_touch(78, None, 100), "it has just started");
--- a/crates/decide/tests/evacuations.rs
+++ b/crates/decide/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Evacuated zones, and what holds just after one was taken back.
+//! Evacuated zones, and the cold period after a zone is taken back.
 
 use eelgrasspier_decide::evacuations::{Evacuations, ZoneChange};
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn several_zones_may_be_evacuated_at_a_time() {
+fn several_zones_may_be_evacuated_at_once() {
     let mut zones = Evacuations::default();
     assert!(zones.apply(evacuated("a"), 0));
     assert!(zones.apply(evacuated("b"), 10));
@@ -21,11 +21,11 @@
     assert_eq!(zones.evacuated().count(), 1);
 }
 
-/// Symptom: replicas crashed under a second's usual requests just after their zone was taken back.
-/// Sequence: they had turned cold while the zone was evacuated; their entries said so a report later.
-/// Cause: without an entry that says so a replica counts as warm.
+/// Guards against treating the replicas of a zone as warm just after it is taken back. They had
+/// become cold during the evacuation, their entries showed it only with the next report, and they
+/// crashed under the usual request rate.
 #[test]
-fn a_zone_that_was_taken_back_counts_as_cold_for_as_long_as_a_start() {
+fn a_zone_that_was_taken_back_is_cold_for_the_warm_up_time() {
     let mut zones = Evacuations::default();
     zones.apply(evacuated("a"), 0);
     assert_eq!(zones.cold_until_ms("a", 3_000), None);
@@ -35,9 +35,9 @@
     assert_eq!(zones.cold_until_ms("a", 3_000), None, "it gets nothing at all");
 }
 
-/// Sequence: an instance started after the evacuation had ended, and hears of the end from another.
+/// An instance that starts after an evacuation learns of its end from another instance.
 #[test]
-fn an_end_without_a_beginning_counts_too() {
+fn the_end_of_an_unknown_evacuation_counts() {
     let mut zones = Evacuations::default();
     assert!(zones.apply(taken_back("a"), 100));
     assert_eq!(zones.cold_until_ms("a", 500), Some(600));
