--- a/crates/decide/src/problem.rs
+++ b/crates/decide/src/problem.rs
@@ -1,17 +1,17 @@
-//! What can be wrong with the operators' text, and on which line.
+//! Errors in the operators' configuration text, with line numbers.
 
 use std::net::SocketAddr;
 
 use displaydoc::Display;
 
-/// What is wrong with a line of the text.
+/// Error in a line of the text.
 #[derive(Debug, Display, Clone, PartialEq, Eq)]
 pub enum Problem {
-    /// not an INI text: {0}
+    /// invalid INI syntax: {0}
     Syntax(String),
-    /// the text of {size_bytes} bytes is longer than the platform holds
+    /// the text has {size_bytes} bytes, which is more than the platform can store
     TooLong {
-        /// Length of the text.
+        /// Size of the text in bytes.
         size_bytes: usize,
     },
     /// the text lists no service
@@ -22,17 +22,17 @@
     DuplicateKey(String),
     /// {0} is not a setting of a service
     UnknownKey(String),
-    /// {0} stands outside of any service's section
+    /// {0} is outside of any service section
     OutsideSection(String),
     /// {0} is not a name of lower-case letters, digits and hyphens
     BadName(String),
     /// {key} = {value}: expected {expected}
     BadValue {
-        /// The setting.
+        /// Name of the setting.
         key: String,
-        /// What the text says.
+        /// Value in the text.
         value: String,
-        /// What it should say.
+        /// Description of valid values.
         expected: &'static str,
     },
     /// service {0} has no shard.0
@@ -49,17 +49,17 @@
     DeadlineAboveMaximum,
 }
 
-/// One error of the text with the line it stands on.
+/// Error in the text with its line.
 #[derive(Debug, Display, Clone, PartialEq, Eq)]
 #[displaydoc("line {line}: {problem}")]
 pub struct TextError {
     /// Line number, counted from 1.
     pub line: usize,
-    /// What is wrong there.
+    /// Kind of error.
     pub problem: Problem,
 }
 
-/// Every error of a text, in order of lines.
+/// All errors of a text, in order of lines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TextErrors(pub Vec<TextError>);
 
@@ -72,7 +72,7 @@
 
 impl std::error::Error for TextErrors {}
 
-/// Finds the line of a section or key; the INI library does not keep lines.
+/// Finds the line of a section or key, since the INI library does not record line numbers.
 #[derive(Debug)]
 pub(crate) struct Lines<'a> {
     pub(crate) lines: Vec<&'a str>,
@@ -91,10 +91,10 @@
         found.nth(nth).map_or(1, |(i, _)| i + 1)
     }
 
-    /// The line of the `nth` setting of `key` after line `section`.
+    /// Returns the line of the `nth` setting of `key` after line `section`.
     pub(crate) fn key(&self, section: usize, key: &str, nth: usize) -> usize {
         let body = self.lines.iter().enumerate().skip(section);
-        // The library lets a key run over several lines up to its equals sign.
+        // The library lets a key span several lines up to its equals sign.
         let key = first_line(key);
         let mut found = body
             .take_while(|(_, l)| !l.starts_with('['))
@@ -103,7 +103,7 @@
     }
 }
 
-/// The first line of a key; the library lets one run over several.
+/// Returns the first line of a key, since the library lets a key span several lines.
 pub(crate) fn first_line(text: &str) -> &str {
     text.lines().next().unwrap_or_default().trim()
 }
--- a/crates/decide/src/text.rs
+++ b/crates/decide/src/text.rs
@@ -1,7 +1,7 @@
-//! The operators' text: services, their shards and what each depends on.
+//! Parser for the operators' configuration text: services, their shards and dependencies.
 //!
-//! The text is INI. One section is one service; `shard.N` lists the replicas of
-//! shard N as `availability-zone@address`. Every error is reported with its line.
+//! The text is INI. Each section is a service; `shard.N` lists the replicas of shard N as
+//! `availability-zone@address`. Every error is reported with its line.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,70 +14,70 @@
 pub use crate::problem::{Problem, TextError, TextErrors};
 use crate::rendezvous;
 
-/// Largest text that is accepted, in bytes; the platform holds up to a megabyte.
+/// Maximum size of the text in bytes; the platform stores up to 1 MB.
 pub const MAX_TEXT_BYTES: usize = 900 * 1024;
 
-/// Deadline in milliseconds by default: none, so that callers must say one.
+/// Default deadline in milliseconds; 0 means none, so callers must set one.
 const DEFAULT_DEADLINE_MS: u64 = 0;
-/// Longest deadline in milliseconds that a caller may ask for by default.
+/// Default for the maximum deadline that a caller may set, in milliseconds.
 const DEFAULT_MAX_DEADLINE_MS: u64 = 30_000;
-/// Connections that a replica allows where the text does not say.
+/// Default for the number of connections that a replica accepts.
 const DEFAULT_CONNECTIONS: u32 = 25;
-/// Requests that a replica runs at a time where the text does not say.
+/// Default for the number of requests that a replica runs at a time.
 const DEFAULT_SLOTS: u32 = 2;
-/// Hedges in percent of ordinary parts where the text does not say.
+/// Default for the number of hedges, in percent of ordinary parts.
 const DEFAULT_HEDGE_PERCENT: u32 = 5;
-/// Largest request body in bytes by default.
+/// Default for the maximum size of a request body, in bytes.
 const DEFAULT_MAX_REQUEST_BYTES: usize = 64 * 1024;
-/// Largest part of an answer in bytes by default.
+/// Default for the maximum size of a part of an answer, in bytes.
 const DEFAULT_MAX_PART_BYTES: usize = 256 * 1024;
-/// Most shards of one service.
+/// Maximum number of shards of one service.
 const MAX_SHARDS: u32 = 10_000;
 
-/// One replica of a shard: a backend server's address and availability zone.
+/// Replica of a shard: address and availability zone of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaSpec {
-    /// Hash of the address, the same on every instance.
+    /// Hash of the address; the same on every instance.
     pub id: u64,
-    /// Where it listens.
+    /// Listen address.
     pub addr: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: String,
 }
 
-/// One service as the operators describe it.
+/// Service as configured by the operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Service {
     /// Name in the callers' URLs.
     pub name: String,
     /// Replicas of each shard, by shard number.
     pub shards: Vec<Vec<ReplicaSpec>>,
-    /// Connections that each replica allows in all.
+    /// Total number of connections that each replica accepts.
     pub connections: u32,
-    /// Connections of these that are kept for runs; 0 if the service takes none.
+    /// Number of these connections reserved for runs; 0 if the service accepts no runs.
     pub run_connections: u32,
-    /// Requests that each replica runs at a time.
+    /// Number of requests that each replica runs at a time.
     pub slots: u32,
-    /// Deadline where the caller says none; 0 means that it must say one.
+    /// Deadline in milliseconds if the caller sets none; 0 means that the caller must set one.
     pub deadline_ms: u64,
-    /// Longest deadline that a caller may ask for.
+    /// Maximum deadline that a caller may set, in milliseconds.
     pub max_deadline_ms: u64,
-    /// Hedges in percent of ordinary parts.
+    /// Maximum number of hedges, in percent of ordinary parts.
     pub hedge_percent: u32,
-    /// Largest request body in bytes.
+    /// Maximum size of a request body in bytes.
     pub max_request_bytes: usize,
-    /// Largest part of an answer in bytes.
+    /// Maximum size of a part of an answer in bytes.
     pub max_part_bytes: usize,
-    /// Weight of each team that may use the service; empty means anyone.
+    /// Weight of each team that may use the service; empty if any team may.
     pub teams: BTreeMap<String, u32>,
-    /// Services whose index versions must match this one's.
+    /// Services whose index versions must match the version of this one.
     pub depends_on: Vec<String>,
 }
 
-/// All services of one version of the text.
+/// Services of one version of the text.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Services {
-    /// The services by name.
+    /// Services by name.
     pub by_name: BTreeMap<String, Arc<Service>>,
 }
 
@@ -97,16 +97,16 @@
 }
 
 impl Services {
-    /// A service and all that it depends on, directly or not.
+    /// Returns a service and all its direct and indirect dependencies.
     #[must_use]
     pub fn with_dependencies(&self, name: &str) -> Vec<&Arc<Service>> {
         let mut seen = BTreeSet::new();
-        let mut open = vec![name];
+        let mut pending = vec![name];
         let mut found = Vec::new();
-        while let Some(next) = open.pop() {
+        while let Some(next) = pending.pop() {
             let Some(service) = self.by_name.get(next) else { continue };
             if seen.insert(next) {
-                open.extend(service.depends_on.iter().map(String::as_str));
+                pending.extend(service.depends_on.iter().map(String::as_str));
                 found.push(service);
             }
         }
@@ -114,7 +114,7 @@
     }
 }
 
-/// One section while it is being read.
+/// Section that is being parsed.
 struct Section<'a> {
     line: usize,
     properties: &'a Properties,
@@ -139,7 +139,8 @@
         let ini = match Ini::load_from_str_noescape(text) {
             Ok(ini) => ini,
             Err(error) => {
-                // The library counts from 0, and past the end where something is missing.
+                // The library counts from 0, and reports a line past the end if something is
+                // missing.
                 let line = (error.line + 1).clamp(1, self.lines.lines.len().max(1));
                 self.fail(line, Problem::Syntax(error.msg.to_string()));
                 return services;
@@ -157,9 +158,9 @@
 
     fn read_section(&mut self, name: Option<&str>, properties: &Properties, into: &mut Services) {
         let Some(name) = name else {
-            let stray = properties.iter().map(|(k, _)| first_line(k).to_owned());
-            let stray: Vec<String> = stray.collect();
-            for key in stray {
+            let stray_keys = properties.iter().map(|(k, _)| first_line(k).to_owned());
+            let stray_keys: Vec<String> = stray_keys.collect();
+            for key in stray_keys {
                 let line = self.lines.key(0, &key, 0);
                 self.fail(line, Problem::OutsideSection(key));
             }
@@ -350,18 +351,18 @@
     }
 }
 
-/// A path along dependencies from `start` back to it.
+/// Returns a dependency cycle through `start`.
 fn cycle_from(services: &Services, start: &str) -> Option<String> {
-    let mut open = vec![vec![start]];
+    let mut pending = vec![vec![start]];
     let mut seen = BTreeSet::new();
-    while let Some(path) = open.pop() {
+    while let Some(path) = pending.pop() {
         let last = services.by_name.get(*path.last()?)?;
         for next in last.depends_on.iter().map(String::as_str) {
             if next == start {
                 return Some([path.join(" -> "), start.to_owned()].join(" -> "));
             }
             if services.by_name.contains_key(next) && seen.insert(next) {
-                open.push([path.as_slice(), &[next]].concat());
+                pending.push([path.as_slice(), &[next]].concat());
             }
         }
     }
@@ -382,7 +383,7 @@
     }
 }
 
-/// Whether `name` is made of lower-case letters, digits and hyphens.
+/// Returns true if `name` consists of up to 64 lower-case letters, digits and hyphens.
 #[must_use]
 pub fn is_name(name: &str) -> bool {
     const MAX_NAME_BYTES: usize = 64;
--- a/crates/decide/tests/text.rs
+++ b/crates/decide/tests/text.rs
@@ -1,4 +1,4 @@
-//! The operators' text: every error is reported, with its line.
+//! Parsing of the operators' configuration text; every error is reported with its line.
 
 use eelgrasspier_decide::prelude::Services;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_service_is_read_as_written() {
+fn a_service_is_parsed() {
     let text = "[grid]\nconnections = 25\nrun_connections = 5\nteams = a:3, b\n\
                 shard.0 = z1@10.0.0.1:80, z2@10.0.0.2:80\nshard.1 = z1@10.0.0.3:80\n";
     let services = Services::try_from(text).unwrap();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn cycles_and_doubles_are_named() {
+fn cycles_and_duplicates_are_reported() {
     let shard = "shard.0 = z@10.0.0.1:80\n";
     let text = format!("[a]\n{shard}depends_on = b\n[b]\n{shard}depends_on = a\n[a]\n{shard}");
     let found = errors(&text);
@@ -70,9 +70,9 @@
     assert!(errors("[a\n")[0].starts_with("line "), "{:?}", errors("[a\n"));
 }
 
-/// The examples for both users' deployments have their sizes and no errors.
+/// The example configurations are valid and have the expected sizes.
 #[test]
-fn the_examples_are_right() {
+fn the_examples_are_valid() {
     let sizes = |text: &str| -> Vec<(String, usize, usize)> {
         let services = Services::try_from(text).unwrap_or_else(|e| panic!("{e}"));
         let size = |s: &std::sync::Arc<eelgrasspier_decide::text::Service>| {
