--- a/crates/decide/src/admission/gate.rs
+++ b/crates/decide/src/admission/gate.rs
@@ -191,11 +191,11 @@
         let mut refused = Vec::new();
         for team in self.teams.values_mut() {
             team.waiting.retain(|w| {
-                let stays = w.until_ms > now_ms;
-                if !stays {
+                let is_kept = w.until_ms > now_ms;
+                if !is_kept {
                     refused.push(Resolved::Refuse(w.ticket, refusal.clone()));
                 }
-                stays
+                is_kept
             });
         }
         refused
@@ -262,8 +262,7 @@
         (self.limit() * own / total.max(1)).max(1)
     }
 
-    /// Raises the limit if the answer was in time; otherwise reduces it, at most once per service
-    /// time.
+    /// Raises the limit after a timely answer, or else reduces it, at most once per service time.
     fn adapt_limit(&mut self, ended: Ended, now_ms: u64) {
         if ended.ending == Ending::Neutral {
             return;
--- a/crates/decide/src/cold.rs
+++ b/crates/decide/src/cold.rs
@@ -1,8 +1,8 @@
 //! Rate limit on requests to cold replicas, over all instances together.
 //!
 //! A cold replica is slow and crashes if it gets too many requests per second. The limit applies to
-//! the whole fleet in every sliding second, also while instances do not hear from each other, so
-//! neither equal shares (most instances send nothing) nor a gossiped count would work. Each cold
+//! the whole fleet in every sliding second, even while instances cannot reach each other. Neither
+//! equal shares (most instances send nothing) nor a gossiped count would achieve this. So each cold
 //! replica has one keeper, which counts the requests to it; other instances ask the keeper for
 //! permission. While two instances both consider themselves the keeper, each uses at most half of
 //! the limit.
@@ -120,11 +120,13 @@
     }
 }
 
-/// Returns true if an instance that last received a message at `heard_ms` may be a keeper.
+/// Returns true if an instance that last received a message at `last_received_ms` may be a keeper.
 ///
 /// `fleet` is the number of all instances, including those that it does not know: an instance that
 /// starts while partitioned knows no others, but is not alone.
 #[must_use]
-pub fn is_in_touch(fleet: u64, heard_ms: Option<u64>, now_ms: u64) -> bool {
-    fleet <= 1 || heard_ms.is_some_and(|heard_ms| now_ms < heard_ms + PARTITION_TIMEOUT_MS)
+pub fn is_in_touch(fleet: u64, last_received_ms: Option<u64>, now_ms: u64) -> bool {
+    fleet <= 1
+        || last_received_ms
+            .is_some_and(|last_received_ms| now_ms < last_received_ms + PARTITION_TIMEOUT_MS)
 }
--- a/crates/decide/src/connections.rs
+++ b/crates/decide/src/connections.rs
@@ -2,15 +2,15 @@
 //!
 //! A replica resets connections beyond its limit, and the requests on them are lost. No instance
 //! knows how many connections the others hold, so each keeps to a part that follows from the
-//! membership. The largest part goes to instances in the replica's zone, which send it most of its
-//! requests.
+//! membership. An instance in the replica's zone gets a larger part, since the zone's own instances
+//! send the replica most of its requests.
 
 /// Number of connections to a replica that each instance may always open.
 pub const LEAST_CONNECTIONS: u32 = 1;
 /// Part of a replica's connections for the instances of its own zone, in percent.
 ///
-/// They send it most of its requests. It works on a few at a time: a request that only queues on a
-/// connection there would be served sooner by a replica that becomes free.
+/// They send it most of its requests, but it works on only a few at a time. With more connections,
+/// requests would queue here that another replica could serve sooner.
 const NEAR_PERCENT: u32 = 24;
 /// Part of a replica's connections for all other instances, in percent.
 ///
--- a/crates/decide/src/gatherers.rs
+++ b/crates/decide/src/gatherers.rs
@@ -31,8 +31,8 @@
 ///
 /// The largest instances are selected, as few as provide enough CPU capacity together. A part takes
 /// 0.2 ms on half a core and 0.8 ms on an eighth, and each request that an asking instance need not
-/// send saves a millisecond in the latency of the answer. An instance that joins or leaves changes
-/// only one place.
+/// send saves a millisecond in the latency of the answer. An instance that joins or leaves affects
+/// only its own place.
 #[must_use]
 pub fn choose(zone: &str, candidates: &[Candidate]) -> Vec<u64> {
     let mut ranked = candidates.to_vec();
@@ -40,24 +40,28 @@
     ranked.sort_by_key(|c| {
         (std::cmp::Reverse(c.capacity_milli), rendezvous::weight(zone_key, c.key), c.key)
     });
-    let count =
-        if ranked.len() <= MAX_SELF_GATHERING_INSTANCES { ranked.len() } else { count(&ranked) };
+    let count = if ranked.len() <= MAX_SELF_GATHERING_INSTANCES {
+        ranked.len()
+    } else {
+        gatherer_count(&ranked)
+    };
     ranked.into_iter().take(count).map(|c| c.key).collect()
 }
 
 /// Returns the number of gatherers in a zone, given its instances with the largest first.
-fn count(ranked: &[Candidate]) -> usize {
+fn gatherer_count(ranked: &[Candidate]) -> usize {
     let capacity = |c: &Candidate| u64::from(c.capacity_milli.max(1));
     let Some(median) = ranked.get(ranked.len() / 2).map(capacity) else { return 0 };
     let total: u64 = ranked.iter().map(capacity).sum();
-    let needed = (MAX_SELF_GATHERING_INSTANCES as u64 * median).max(total.div_ceil(CAPACITY_RATIO));
-    let mut selected = 0;
+    let needed_milli =
+        (MAX_SELF_GATHERING_INSTANCES as u64 * median).max(total.div_ceil(CAPACITY_RATIO));
+    let mut selected_milli = 0;
     let suffices = |c: &Candidate| {
-        selected += capacity(c);
-        selected >= needed
+        selected_milli += capacity(c);
+        selected_milli >= needed_milli
     };
-    let sufficient = ranked.iter().position(suffices).map_or(ranked.len(), |last| last + 1);
-    sufficient.max(MIN_GATHERERS).min(ranked.len())
+    let count = ranked.iter().position(suffices).map_or(ranked.len(), |last| last + 1);
+    count.max(MIN_GATHERERS).min(ranked.len())
 }
 
 /// Returns the index of the gatherer that is responsible for a shard.
--- a/crates/decide/src/patience.rs
+++ b/crates/decide/src/patience.rs
@@ -5,8 +5,7 @@
 //! is sent as soon as it covers enough shards. If it does not, it is late in any case and waits
 //! until it does or until the caller's time limit.
 
-/// Part of the target latency reserved for the caller's round trip and late timers, in
-/// milliseconds.
+/// Part of the target latency reserved for the round trip and timer delays, in milliseconds.
 const ROUND_TRIP_MS: u64 = 4;
 /// CPU time between the end of waiting and the delivery of the answer, in microseconds of one core.
 ///
--- a/crates/decide/src/relays.rs
+++ b/crates/decide/src/relays.rs
@@ -25,12 +25,12 @@
 /// Returns the replicas that a shard's request relayed through `zone` may be sent to, best first.
 ///
 /// The result contains positions in `replicas`. The asking instance and the one in `zone` both send
-/// hedges, and neither knows which replicas the other has selected. With more replicas than
-/// attempts, they could together reach too many. So the asking instance selects the replicas by the
-/// request's id and passes them on; a selection by both is not enough, because their lists of
-/// replicas differ during changes. Slow replicas come last, as reported by the relaying instance,
-/// which sends to them. Without this, when two in five replicas were bad, one shard in six got two
-/// bad ones of three, and no answer was complete enough.
+/// hedges and retries, and neither knows which replicas the other has selected. With more replicas
+/// than attempts, they could together reach too many. So the asking instance selects the replicas
+/// by the request's id and passes them on; a selection by both is not enough, because their lists
+/// of replicas differ during changes. Slow replicas come last, as reported by the relaying
+/// instance, which sends to them. Without this, when two in five replicas were bad, one shard in
+/// six got two bad ones of three, and no answer was complete enough.
 #[must_use]
 pub fn allowed(replicas: &[Place<'_>], zone: &str, attempts: usize, request: u64) -> Vec<usize> {
     let mut order: Vec<usize> = (0..replicas.len()).collect();
--- a/crates/decide/src/snapshot.rs
+++ b/crates/decide/src/snapshot.rs
@@ -45,9 +45,9 @@
 impl Catalogue {
     /// Records that a usable replica of `shard` holds `held`.
     pub fn add(&mut self, shard: ShardId, held: &[Held]) {
-        for &version in held {
-            let shards = self.shards_by_held.entry(version).or_default();
-            if shard < version.shard_count && !shards.contains(&shard) {
+        for &held_version in held {
+            let shards = self.shards_by_held.entry(held_version).or_default();
+            if shard < held_version.shard_count && !shards.contains(&shard) {
                 shards.push(shard);
             }
         }
--- a/crates/decide/src/verdict.rs
+++ b/crates/decide/src/verdict.rs
@@ -22,7 +22,7 @@
     UnknownRoute(String),
     /// unknown service {0}
     UnknownService(String),
-    /// no configuration has been loaded yet
+    /// no configuration is active yet
     NotReady,
     /// overloaded: the request cannot be answered in time
     Overloaded,
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -34,7 +34,7 @@
         match self.gate.offer(team, weight, deadline_ms, self.now_ms) {
             Decision::Run => self.begin(team.to_owned(), deadline_ms),
             Decision::Wait { ticket, until_ms } => {
-                assert!(until_ms < deadline_ms, "waits for its whole deadline");
+                assert!(until_ms < deadline_ms, "waits until its deadline");
                 self.waiting.insert(ticket, (team.to_owned(), deadline_ms));
             }
             Decision::Refuse(refusal) => {
@@ -46,7 +46,10 @@
 
     fn begin(&mut self, team: String, deadline_ms: u64) {
         self.running.push((team, self.now_ms, deadline_ms));
-        assert!(self.running.len() <= self.gate.limit() as usize, "more run than the limit");
+        assert!(
+            self.running.len() <= self.gate.limit() as usize,
+            "more requests run than the limit allows"
+        );
     }
 
     fn resolve(&mut self, resolved: Vec<Resolved>) {
@@ -137,7 +140,7 @@
         let _started = gate.offer("a", 1, now_ms + BUDGET_MS, now_ms);
         gate.finish("a", end(Ending::Shed), now_ms);
     }
-    assert_eq!(gate.limit(), 12, "one cut in one moment");
+    assert_eq!(gate.limit(), 12, "one reduction at a time");
     for _ in 0..50 {
         now_ms += 100;
         let _started = gate.offer("a", 1, now_ms + BUDGET_MS, now_ms);
--- a/crates/decide/tests/allowance.rs
+++ b/crates/decide/tests/allowance.rs
@@ -28,7 +28,7 @@
     let taken: u64 = (0..7).map(|_| spend_all(&mut Allowance::default(), 7, 0, 10, 13)).sum();
     let allowed = 7 * 10 * 13 * LIMITS.ratio_milli / 1000 + LIMITS.slack;
     assert!(taken <= allowed, "{taken} of {allowed}");
-    assert!(taken * 2 > allowed, "{taken} of {allowed} leaves callers waiting");
+    assert!(taken * 2 > allowed, "{taken} of {allowed} leaves most of the budget unused");
 }
 
 /// Guards against exceeding the limit in a window with a restart of all instances. A restarted
@@ -51,7 +51,7 @@
         (0..7).map(|_| spend_all(&mut Allowance::default(), ASSUMED_INSTANCES, 0, 1, 1)).sum();
     assert!(taken <= LIMITS.slack / 2, "{taken}");
     let alone: u64 = (0..7).map(|_| spend_all(&mut Allowance::default(), 1, 0, 1, 1)).sum();
-    assert!(alone > LIMITS.slack, "the check can fail: {alone}");
+    assert!(alone > LIMITS.slack, "the whole slack for each should exceed the limit: {alone}");
 }
 
 #[test]
--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold.rs
@@ -12,9 +12,9 @@
     assert_eq!(share(4_000, BOUNDS), Some(4));
     // 20 x 1.5 + 5 = 35 for two keepers.
     assert_eq!(share(20_000, BOUNDS), Some(17));
-    assert_eq!(share(500, BOUNDS), Some(1), "one in two seconds is one in some second");
-    assert_eq!(share(500, ColdBounds::default()), Some(0), "any request would be too many");
-    assert_eq!(share(0, BOUNDS), None, "no rate is no bound");
+    assert_eq!(share(500, BOUNDS), Some(1), "one in two seconds rounds up to one in a second");
+    assert_eq!(share(500, ColdBounds::default()), Some(0), "any request would exceed the limit");
+    assert_eq!(share(0, BOUNDS), None, "rate 0 means no limit");
 }
 
 /// Guards against counting in fixed instead of sliding seconds, where requests at the end of one
@@ -56,10 +56,10 @@
     assert!(!settled.is_settled(Some("a"), 999));
     assert!(settled.is_settled(Some("a"), 1_000));
     settled.note(keys(&[("a", &[2, 1]), ("b", &[3])]), 2_000);
-    assert!(settled.is_settled(Some("a"), 2_001), "the same in another order");
+    assert!(settled.is_settled(Some("a"), 2_001), "the same keys in another order");
     settled.note(keys(&[("a", &[1]), ("b", &[3])]), 3_000);
     assert!(!settled.is_settled(Some("a"), 3_999));
-    assert!(settled.is_settled(Some("b"), 3_999), "nothing has changed there");
+    assert!(settled.is_settled(Some("b"), 3_999), "zone b is unchanged");
     // All instances of the zone are unreachable, and those of other zones stand in.
     settled.note(keys(&[("b", &[3])]), 5_000);
     assert!(!settled.is_settled(None, 5_999));
@@ -71,6 +71,6 @@
 fn a_partitioned_instance_permits_nothing() {
     assert!(is_in_touch(78, Some(10_000), 11_499));
     assert!(!is_in_touch(78, Some(10_000), 11_500));
-    assert!(!is_in_touch(78, None, 100), "it has just started");
-    assert!(is_in_touch(1, None, 1_000_000), "one that is alone hears of nobody");
+    assert!(!is_in_touch(78, None, 100), "has just started");
+    assert!(is_in_touch(1, None, 1_000_000), "the only instance receives no messages");
 }
--- a/crates/decide/tests/evacuations.rs
+++ b/crates/decide/tests/evacuations.rs
@@ -15,7 +15,7 @@
     let mut zones = Evacuations::default();
     assert!(zones.apply(evacuated("a"), 0));
     assert!(zones.apply(evacuated("b"), 10));
-    assert!(!zones.apply(evacuated("b"), 20), "it was known");
+    assert!(!zones.apply(evacuated("b"), 20), "already evacuated");
     assert!(zones.apply(taken_back("a"), 30));
     assert_eq!((zones.is_evacuated("a"), zones.is_evacuated("b")), (false, true));
     assert_eq!(zones.evacuated().count(), 1);
@@ -32,7 +32,7 @@
     zones.apply(taken_back("a"), 5_000);
     assert_eq!(zones.cold_until_ms("a", 3_000), Some(8_000));
     zones.apply(evacuated("a"), 6_000);
-    assert_eq!(zones.cold_until_ms("a", 3_000), None, "it gets nothing at all");
+    assert_eq!(zones.cold_until_ms("a", 3_000), None, "an evacuated zone gets no requests");
 }
 
 /// An instance that starts after an evacuation learns of its end from another instance.
--- a/crates/decide/tests/homes.rs
+++ b/crates/decide/tests/homes.rs
@@ -13,6 +13,6 @@
     assert!(regions.is_home(&homes(&["coast"]), "north"));
     assert!(!regions.is_home(&homes(&["coast"]), "south"));
     assert!(regions.is_home(&homes(&["coast", "island"]), "south"));
-    assert!(!regions.is_home(&homes(&["coast"]), "new"), "its region is not known");
+    assert!(!regions.is_home(&homes(&["coast"]), "new"), "the region is unknown");
     assert!(regions.is_home(&homes(&[]), "new"));
 }
--- a/crates/decide/tests/invariants.rs
+++ b/crates/decide/tests/invariants.rs
@@ -93,7 +93,7 @@
         let chosen = catalogue.choose(&[]);
         match complete.iter().max() {
             Some(&newest) => {
-                let chosen = chosen.expect("there is a complete one");
+                let chosen = chosen.expect("a complete snapshot exists");
                 assert!(chosen.is_complete());
                 assert_eq!(chosen.version, newest);
             }
