--- a/crates/decide/src/admission/mod.rs
+++ b/crates/decide/src/admission/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! There are two rules, for two sources of information. The [`Gate`] limits the requests of a
 //! service by what it has seen answered in time, and divides them between teams; it needs no
-//! information from the backend servers. [`plan`] uses the queue lengths reported by the backend
+//! information from the backend servers. [`plan()`] uses the queue lengths reported by the backend
 //! servers: it determines which shards of one request would be late, which of them may be left out,
 //! and when the request is refused as a whole.
 
--- a/crates/decide/src/allowance.rs
+++ b/crates/decide/src/allowance.rs
@@ -1,8 +1,8 @@
 //! Retry budget: limits how many requests are sent to a second replica, per service.
 //!
-//! Retries include hedges. All instances together may add `ratio` times the number of requests of a
-//! service, plus a fixed slack, in any window. The ratio needs no division, since each instance
-//! counts its own requests; the slack is divided by the number of instances.
+//! Retries include hedges. In any window, all instances together may add `ratio_milli` retries per
+//! thousand requests of a service, plus a fixed slack. The ratio needs no division, since each
+//! instance counts its own requests; the slack is divided by the number of instances.
 
 use std::collections::VecDeque;
 
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -166,10 +166,11 @@
             self.expires_at_ms.max(now_ms.max(self.refused_until_ms) + retention_ms);
     }
 
-    /// Starts a refusal if the evidence suffices; `is_again` if a trial has just added to it.
-    fn refuse_if_proven(&mut self, is_repeated: bool, now_ms: u64) {
-        let is_proven =
-            self.is_suspect() && self.ended_alone.len() >= MIN_CRASHES_IN_ISOLATION && is_repeated;
+    /// Starts a refusal if the evidence suffices; `has_new_trial_crash` if a trial has just added to it.
+    fn refuse_if_proven(&mut self, has_new_trial_crash: bool, now_ms: u64) {
+        let is_proven = self.is_suspect()
+            && self.ended_alone.len() >= MIN_CRASHES_IN_ISOLATION
+            && has_new_trial_crash;
         if is_proven && now_ms >= self.refused_until_ms {
             let doublings = self.refusals.min(MAX_REFUSAL_DOUBLINGS);
             self.refused_until_ms = now_ms + (FIRST_REFUSAL_MS << doublings);
@@ -246,7 +247,7 @@
 
     /// Begins a trial and returns true, or returns false if another trial is in progress.
     ///
-    /// Other trials of the request then wait for the end of this one, at most for `most_ms`.
+    /// Other trials of the request then wait for the end of this one, at most for `timeout_ms`.
     pub fn begin_trial(&mut self, fingerprint: Fingerprint, now_ms: u64, timeout_ms: u64) -> bool {
         let Some(record) = self.records.get_mut(&fingerprint) else { return true };
         let may_begin = now_ms >= record.trial_until_ms;
--- a/crates/decide/src/standing.rs
+++ b/crates/decide/src/standing.rs
@@ -132,7 +132,7 @@
         expected_ms
     }
 
-    /// Records the end of the request sent at `sent_ms`, with any outcome.
+    /// Records the end of the request sent at `sent_at_ms`, with any outcome.
     pub fn ended(&mut self, sent_at_ms: u64) {
         if let Some(i) = self.in_progress.iter().position(|s| s.sent_at_ms == sent_at_ms) {
             self.in_progress.swap_remove(i);
