--- a/crates/router/src/connections.rs
+++ b/crates/router/src/connections.rs
@@ -1,4 +1,4 @@
-//! Opening connections ahead of use, and forgetting replicas that are gone.
+//! Opens connections before their first use and drops state of removed replicas.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -10,9 +10,9 @@
 use crate::view::View;
 
 impl Router {
-    /// Follows the views: forgets replicas that are gone, connects to new ones.
+    /// Follows the views: drops state of removed replicas and connects to new ones.
     pub(crate) async fn follow_views(self: Rc<Self>) {
-        let mut known: HashSet<Arc<str>> = HashSet::new();
+        let mut connected: HashSet<Arc<str>> = HashSet::new();
         loop {
             let view = self.shared.view.load_full();
             let entries = || view.replicas.values().flatten();
@@ -22,22 +22,25 @@
             let peers: HashSet<Arc<str>> = view.peers.iter().map(|p| peer_key(&p.name)).collect();
             self.standings.borrow_mut().retain(|id, _| ids.contains(id) || peers.contains(id));
             if view.configuration.is_some() {
-                // Far replicas are asked by way of others, but for a hedge now and then.
-                let is_own =
+                // Replicas of other zones are reached through their zones' instances, except for
+                // occasional hedges.
+                let is_connected_directly =
                     |e: &Arc<ReplicaEntry>| e.zone == self.zone && self.gathers(&view, &e.service);
-                let is_new = |e: &&Arc<ReplicaEntry>| !known.contains(&e.id) && is_own(e);
+                let is_new =
+                    |e: &&Arc<ReplicaEntry>| !connected.contains(&e.id) && is_connected_directly(e);
                 for entry in entries().filter(is_new) {
                     self.warm(&view, entry);
                 }
-                known = if view.is_gatherer { ids } else { HashSet::new() };
+                connected = if view.is_gatherer { ids } else { HashSet::new() };
             }
-            self.shared.has_changed.notified().await;
+            self.shared.view_changed.notified().await;
         }
     }
 
     fn warm(&self, view: &View, entry: &Arc<ReplicaEntry>) {
-        let most = view.most_connections(&entry.zone, view.accepted_connections(&entry.service));
-        let warming = self.backend.warm(Arc::clone(entry), most);
+        let max_connections =
+            view.most_connections(&entry.zone, view.accepted_connections(&entry.service));
+        let warming = self.backend.warm(Arc::clone(entry), max_connections);
         let id = Arc::clone(&entry.id);
         actix_rt::spawn(async move {
             if let Err(error) = warming.await {
--- a/crates/router/src/control/take.rs
+++ b/crates/router/src/control/apply.rs
@@ -1,4 +1,4 @@
-//! Changes of the store's objects, taken in and written down.
+//! Applies changes of the store's objects to the local state and logs them.
 
 use std::sync::Arc;
 
@@ -12,10 +12,11 @@
 use super::restore::as_gauge;
 
 impl Control {
-    /// Takes changes into the copy and draws the conclusions.
-    pub(super) fn take(&self, kind: Kind, changes: &Changes, source: &str) {
-        // First, so that entries that are gone from the list of a restored store count as lapsed.
-        self.hear_era(changes.era, source);
+    /// Applies changes to the local copy and to the state derived from it.
+    pub(super) fn apply_changes(&self, kind: Kind, changes: &Changes, source: &str) {
+        // The era comes first, so that entries missing from the list of a restored store count as
+        // lapsed.
+        self.observe_peer_era(changes.era, source);
         let (applied, before, after) = {
             let mut mirrors = self.mirrors.borrow_mut();
             let mirror = mirrors.entry(kind).or_insert_with(|| self.empty_mirror(kind));
@@ -23,56 +24,58 @@
             (mirror.apply(changes, self.shared.now_ms()), before, mirror.position())
         };
         let is_first = before.is_none() && changes.is_whole;
-        let has_entered = before.is_some_and(|before| before.era < after.era);
-        // Told even where nothing changes here, such as an entry that is kept for a while:
-        // the others would hear of it only by their next poll.
-        let has_news = is_first || has_entered || applied.has_news();
+        let has_entered_era = before.is_some_and(|before| before.era < after.era);
+        // Announced even if nothing changes here, such as for an entry that is retained for a
+        // while. The other instances would otherwise learn of it only by their next poll.
+        let must_announce = is_first || has_entered_era || applied.has_news();
         if is_first {
-            // One line in place of one for each: a fleet that starts wrote most of its lines here.
+            // One line for the whole list: with a line for each entry, these were most of the lines
+            // that a starting fleet logged.
             log::info!(
                 "event=listed kind={kind:?} entries={} as_of={} source={source}",
                 changes.objects.len(),
                 changes.position()
             );
         }
-        let has_changed = self.carry_out(kind, applied, (changes.as_of, source), is_first);
-        self.note_unsettled(kind);
+        let has_changed = self.apply_effects(kind, applied, (changes.as_of, source), is_first);
+        self.update_unsettled_gauge(kind);
         if has_changed || is_first {
-            self.list_replicas();
+            self.rebuild_replicas();
             self.publish();
         }
-        if has_news {
-            self.announce_changes();
+        if must_announce {
+            self.announce_positions();
         }
     }
 
-    /// Draws the conclusions from what changes did to the copy of a kind; returns whether the
-    /// view is another one. `is_quiet` leaves out the line of each entry.
-    pub(super) fn carry_out(
+    /// Applies the effects of changes to the derived state; returns true if the view must change.
+    ///
+    /// `is_quiet` lowers the log level of the line for each entry to debug.
+    pub(super) fn apply_effects(
         &self,
         kind: Kind,
         applied: Applied,
         (as_of, source): (u64, &str),
         is_quiet: bool,
     ) -> bool {
-        let at = self.filled_up_to(kind).unwrap_or_default();
+        let position = self.complete_position(kind).unwrap_or_default();
         metrics::gauge!("eelgrasspier_store_revision", "kind" => kind.name())
-            .set(as_gauge(at.revision));
+            .set(as_gauge(position.revision));
         let mut has_changed = false;
-        applied.notes.iter().for_each(|note| write_down(kind, note, source));
+        applied.notes.iter().for_each(|note| log_note(kind, note, source));
         for effect in applied.effects {
             has_changed |= match kind {
-                Kind::Replicas => self.take_replica(effect, as_of, source, is_quiet),
-                Kind::Configuration => self.take_configuration(effect, source),
-                Kind::Evacuations => self.take_evacuation(effect, as_of, source),
+                Kind::Replicas => self.apply_replica(effect, as_of, source, is_quiet),
+                Kind::Configuration => self.apply_configuration(effect, source),
+                Kind::Evacuations => self.apply_evacuation(effect, as_of, source),
                 Kind::Instances | Kind::Suspects => false,
             };
         }
         has_changed
     }
 
-    /// Takes one entry; `is_quiet` if its line is left out.
-    fn take_replica(&self, effect: Effect, as_of: u64, source: &str, is_quiet: bool) -> bool {
+    /// Applies one replica entry; `is_quiet` lowers the level of its log line to debug.
+    fn apply_replica(&self, effect: Effect, as_of: u64, source: &str, is_quiet: bool) -> bool {
         let change = match effect {
             Effect::Set(name, content) => match self.decode.replica(&name, &content) {
                 Ok(entry) => EntryChange::Set(entry),
@@ -100,7 +103,7 @@
         has_changed
     }
 
-    fn take_evacuation(&self, effect: Effect, as_of: u64, source: &str) -> bool {
+    fn apply_evacuation(&self, effect: Effect, as_of: u64, source: &str) -> bool {
         let change = match effect {
             Effect::Set(name, content) => {
                 ZoneChange::Evacuated(self.decode.evacuated_zone(&name, &content))
@@ -123,7 +126,7 @@
         has_changed
     }
 
-    fn take_configuration(&self, effect: Effect, source: &str) -> bool {
+    fn apply_configuration(&self, effect: Effect, source: &str) -> bool {
         let Effect::Set(_, content) = effect else {
             log::warn!("event=configuration_deleted source={source}");
             return false;
@@ -151,8 +154,8 @@
     }
 }
 
-/// Writes down what was told and not taken in as it is.
-fn write_down(kind: Kind, note: &Note, source: &str) {
+/// Logs a change that was not applied as received.
+fn log_note(kind: Kind, note: &Note, source: &str) {
     match note {
         Note::LeftOut { name, told, known } => {
             metrics::counter!("eelgrasspier_changes_left_out_total").increment(1);
--- a/crates/router/src/control/fetch.rs
+++ b/crates/router/src/control/fetch.rs
@@ -1,4 +1,4 @@
-//! Changes of the store's objects that are fetched from other instances.
+//! Fetches changes of the store's objects from other instances.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,33 +15,34 @@
 use super::Control;
 use crate::zone_bytes::Cause;
 
-/// Time that the own zone has to bring a change, in milliseconds; a change must be in
-/// force within three seconds.
-const OWN_ZONE_MS: u64 = 400;
+/// Time for an instance of the own zone to obtain a change, in milliseconds.
+///
+/// A change must be in force within 3 s.
+const OWN_ZONE_TIMEOUT_MS: u64 = 400;
 
 impl Control {
-    /// Has the changes of a kind above a place from another instance; `None` if it refuses.
-    pub(super) async fn changes_from(
+    /// Fetches the changes of a kind after a position; returns `None` if the peer refuses.
+    pub(super) async fn fetch_changes(
         &self,
         addr: SocketAddr,
         kind: Kind,
-        above: Position,
+        after: Position,
         timeout: Duration,
     ) -> Result<Option<Changes>, PeerError> {
-        let question = match kind {
-            Kind::Evacuations => Body::EvacuationsAfter(above),
+        let request = match kind {
+            Kind::Evacuations => Body::EvacuationsAfter(after),
             kind => {
-                let Position { era, revision } = above;
+                let Position { era, revision } = after;
                 let is_replicas = kind == Kind::Replicas;
                 Body::ChangesAbove(ChangesAbove { is_replicas, revision, era })
             }
         };
-        let answer = self.links.ask(addr, question, timeout).await?;
+        let answer = self.links.ask(addr, request, timeout).await?;
         self.count_bytes(Cause::Changes, addr, answer.encoded_len());
         Ok(packed::unpack(answer))
     }
 
-    /// Fetches changes from an instance that has seen more.
+    /// Starts to fetch changes from an instance that is ahead.
     pub(super) fn fetch_newer(self: &Rc<Self>, kind: Kind) {
         let known = self.mirrors.borrow().get(&kind).map(Mirror::position).unwrap_or_default();
         let version = self.configuration.borrow().as_ref().map_or(0, |c| c.version);
@@ -51,13 +52,13 @@
             return;
         }
         let membership = self.membership.borrow();
-        // In a restored store the newest version may be missing, at whatever place.
+        // After a restore of the store the newest version may be missing at any position.
         let has_newer = |m: &Member| kind == Kind::Configuration && m.config_version > version;
         let is_ahead = |m: &&Member| {
             (position_of(m, kind) > known || has_newer(m)) && !pulls.is_asked(&m.name)
         };
         let ahead = membership.alive().filter(is_ahead);
-        // One in the own zone, if there is one: so changes cross zones but once.
+        // Prefers an instance of the own zone, so that each change crosses zones only once.
         let best = ahead.min_by_key(|m| (m.zone != self.identity.zone, rand::random::<u32>()));
         let found = best.map(|m| (m.name.clone(), m.zone.clone(), m.peer_addr.parse()));
         let Some((name, zone, Ok(addr))) = found else {
@@ -65,7 +66,7 @@
             return;
         };
         drop(membership);
-        if zone != self.identity.zone && !self.is_fetcher() && !self.is_long_behind(kind) {
+        if zone != self.identity.zone && !self.is_fetcher() && !self.has_waited_for_own_zone(kind) {
             return;
         }
         self.behind_since_ms.borrow_mut().remove(&kind);
@@ -73,8 +74,8 @@
         let control = Rc::clone(self);
         actix_rt::spawn(async move {
             let timeout = Duration::from_millis(pulls::GIVE_UP_MS);
-            match control.changes_from(addr, kind, known, timeout).await {
-                Ok(Some(changes)) => control.take(kind, &changes, &name),
+            match control.fetch_changes(addr, kind, known, timeout).await {
+                Ok(Some(changes)) => control.apply_changes(kind, &changes, &name),
                 Ok(None) => log::warn!("event=fetch_refused from={name}"),
                 Err(error) => log::info!("event=fetch_failed from={name} cause=\"{error}\""),
             }
@@ -82,15 +83,15 @@
         });
     }
 
-    /// Whether the own zone has had its time to bring a change that another zone has.
+    /// True if the own zone has had time to obtain a change that another zone has.
     ///
-    /// Its fetcher has it a few milliseconds later; without the wait half of all changes were
-    /// fetched across zones, by each instance for itself.
-    fn is_long_behind(&self, kind: Kind) -> bool {
+    /// The fetching instance of the zone has it a few milliseconds later. Without this wait half of
+    /// all changes were fetched across zones by each instance separately.
+    fn has_waited_for_own_zone(&self, kind: Kind) -> bool {
         let now_ms = self.shared.now_ms();
         let mut behind = self.behind_since_ms.borrow_mut();
         let since_ms = *behind.entry(kind).or_insert(now_ms);
-        now_ms >= since_ms + OWN_ZONE_MS
+        now_ms >= since_ms + OWN_ZONE_TIMEOUT_MS
     }
 }
 
--- a/crates/router/src/control/follow.rs
+++ b/crates/router/src/control/follow.rs
@@ -1,4 +1,4 @@
-//! Following the store: lists, watches, outages.
+//! Follows the store: lists, watches, polls and outages.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -10,107 +10,113 @@
 use eelgrasspier_store::{Backoff, CollectionError, Kind};
 
 use super::Control;
-use super::restore::{Asked, Placed};
+use super::restore::{AnswerOutcome, StoreRequest};
 
-/// Time for which a watch waits at the store.
+/// Time for which the store holds a watch open.
 ///
-/// A connection that has gone silent is noticed when this is over: it must leave time to
-/// read anew before the instance counts as undisturbed again, 4 s after the cut.
-const WATCH_WAIT: Duration = Duration::from_secs(2);
-/// Pause between two watches: changes that come close together cost one call, and a quarter of
-/// a second is little of the three in which they must be in force. While replicas of a fleet
-/// are replaced one after the other a tenth cost twice as many calls.
-const BATCH: Duration = Duration::from_millis(250);
-/// Time between the polls of an instance that hears of changes from others, for each six
-/// instances: a poll only repairs what gossip lost, and the store's rates don't grow with
-/// the fleet. It asks for changes, since a whole list of 400 replicas has 100 KB, and 77
-/// instances that read it each 5 s made most of the bytes between zones.
-const POLL: Duration = Duration::from_secs(5);
-const POLL_FOR_INSTANCES: u64 = 6;
-/// When the whole system starts for the first time: how long gossip has to join the
-/// instances, and how long one that won't watch waits for those who do.
-pub(super) const JOIN_TIME: Duration = Duration::from_millis(600);
-const FIRST_LIST_TIME: Duration = Duration::from_secs(3);
-/// Age of the process from which it may watch, in milliseconds: by then it has asked another
-/// for the records of all, and a change must be in force within three seconds.
-const JOINED_AFTER_MS: u64 = 1_300;
-/// Time over which those that hear of the store's return spread their calls.
-const RETURN_SPREAD_MS: u64 = 200;
-/// Time without an answer after which the store counts as lost, in milliseconds.
+/// A connection that has gone silent is noticed only when this time is over. A new read must still
+/// fit into the 4 s after the cut, by the end of which the instance must work normally again.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause between two watches, so that changes in quick succession cost one call.
 ///
-/// Replicas renew their entries about every second and drop out after three misses, so a
-/// shorter silence can't have made entries lapse.
-const OUTAGE_MS: u64 = 1000;
-/// Time that all seeds together have to bring what they know to an instance that starts: some ways
-/// there and back within a region. Callers wait for it where the seeds are cut off.
-const SEED_TIME: Duration = Duration::from_millis(100);
+/// Changes must be in force within 3 s, of which 250 ms is a small part. During rolling replacement
+/// of a fleet's replicas, 100 ms cost twice as many calls.
+const WATCH_PAUSE: Duration = Duration::from_millis(250);
+/// Interval between polls of a non-watching instance, per `INSTANCES_PER_POLL_INTERVAL` instances.
+///
+/// A poll only repairs what gossip lost, and the store's rate limits don't grow with the fleet. It
+/// requests changes only: a full list of 400 replicas has 100 KB, and when 77 instances read it
+/// every 5 s that was most of the traffic between zones.
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
+/// Number of instances for each `POLL_INTERVAL` between two polls of one instance.
+const INSTANCES_PER_POLL_INTERVAL: u64 = 6;
+/// Time that gossip gets to connect all instances at the first start of the system.
+pub(super) const GOSSIP_JOIN_TIME: Duration = Duration::from_millis(600);
+/// Time for which a non-watching instance then waits for the watchers' list.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Process age from which it may watch, in milliseconds.
+///
+/// By then it has fetched another instance's member table. Changes must be in force within 3 s.
+const MIN_WATCH_AGE_MS: u64 = 1_300;
+/// Jitter of the calls that follow the news that the store is reachable again, in milliseconds.
+const RECONNECT_JITTER_MS: u64 = 200;
+/// Minimum time without an answer that counts as a store outage, in milliseconds.
+///
+/// Replicas renew their entries about every second and lapse after three misses, so no entry can
+/// have lapsed because of a shorter silence.
+const MIN_OUTAGE_MS: u64 = 1000;
+/// Total time for all seeds to send their state to a starting instance.
+///
+/// It covers several round trips within a region. Callers wait for it where the seeds are
+/// unreachable.
+const SEED_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl Control {
-    /// Lists a kind, then watches it, or hears of it from those who do.
+    /// Keeps one kind up to date by lists, watches and polls, for as long as the thread runs.
     pub(super) async fn follow(self: Rc<Self>, kind: Kind) {
-        let mut pauses = Backoff::new(LEAST_PAUSE_MS, MOST_PAUSE_MS);
+        let mut backoff = Backoff::new(LEAST_PAUSE_MS, MOST_PAUSE_MS);
         if self.identity.is_first_start {
-            self.wait_for_others(kind).await;
+            self.wait_for_first_list(kind).await;
         } else {
-            self.ask_seeds(kind).await;
+            self.fetch_from_seeds(kind).await;
         }
         let mut must_list = false;
-        let mut next_poll = self.next_poll();
+        let mut next_poll = self.next_poll_at();
         loop {
-            // What others have brought meanwhile spares the list.
-            let since = self.known_in_era(kind).await.filter(|_| !must_list);
+            // If another instance has sent the changes meanwhile, no list is needed.
+            let since = self.position_in_current_era(kind).await.filter(|_| !must_list);
             if since.is_some() {
                 self.wait_until_joined().await;
             }
-            let (called, asked_in) = (Instant::now(), self.era());
-            let restored = self.restored.notified();
+            let (call_started, sent_in_era) = (Instant::now(), self.era());
+            let restored = self.store_restored.notified();
             let mut may_be_stale = false;
             let result = match since {
                 None => self.store.list(kind, false).await,
                 Some(since) if self.is_watcher() => {
-                    let watch = self.store.watch(kind, since.revision, self.watch_wait());
+                    let watch = self.store.watch(kind, since.revision, self.watch_timeout());
                     tokio::select! {
                         answer = watch => answer,
                         () = restored => continue,
                     }
                 }
                 Some(since) => {
-                    // One that lost the store goes on until it is answered, watcher or not: its
-                    // record would say "not reached" until the next poll, a minute later in a
-                    // large fleet.
-                    if self.is_store_up.get() && !self.is_poll_due(next_poll).await {
+                    // An instance that lost the store retries until it is answered, even if it is
+                    // no watcher. Otherwise its record would report the store as unreachable until
+                    // the next poll, which in a large fleet is a minute later.
+                    if self.is_store_up.get() && !self.wait_for_poll(next_poll).await {
                         continue;
                     }
-                    next_poll = self.next_poll();
+                    next_poll = self.next_poll_at();
                     may_be_stale = true;
                     self.store.poll(kind, since.revision).await
                 }
             };
-            let asked = Asked { kind, since, in_era: asked_in, may_be_stale };
+            let request = StoreRequest { kind, since, sent_in_era, may_be_stale };
             match result {
                 Ok(answer) => {
-                    pauses.reset();
-                    self.store_answered();
-                    match self.place(asked, answer) {
-                        Placed::Taken => must_list = false,
-                        Placed::ListFirst => continue,
-                        Placed::Late => {}
+                    backoff.reset();
+                    self.record_store_answer();
+                    match self.apply_answer(request, answer) {
+                        AnswerOutcome::Applied => must_list = false,
+                        AnswerOutcome::ListRequired => continue,
+                        AnswerOutcome::Outdated => {}
                     }
-                    tokio::time::sleep(BATCH).await;
+                    tokio::time::sleep(WATCH_PAUSE).await;
                 }
                 Err(error) => {
                     log::info!(
                         "event=store_call_failed kind={kind:?} since={} after_ms={} cause=\"{error}\"",
                         since.unwrap_or_default(),
-                        called.elapsed().as_millis()
+                        call_started.elapsed().as_millis()
                     );
                     if let CollectionError::HistoryGone { era } = error {
-                        self.store_answered();
-                        self.take_era(asked, era);
-                        must_list = self.filled_up_to(kind) == since;
+                        self.record_store_answer();
+                        self.record_answer_era(request, era);
+                        must_list = self.complete_position(kind) == since;
                     } else {
-                        self.store_failed(&error);
-                        self.pause(pauses.next_pause()).await;
+                        self.record_store_failure(&error);
+                        self.back_off(backoff.next_pause()).await;
                         self.wait_for_store(kind).await;
                     }
                 }
@@ -118,31 +124,33 @@
         }
     }
 
-    /// At the first start of all: lets those who watch read the list for the others.
+    /// Waits at the first start of the system until the watchers have read the list.
     ///
-    /// No callers come in the first seconds, and 77 instances that each read the same list
-    /// at the same moment cost more than all calls of the rest of a quiet minute.
-    async fn wait_for_others(&self, kind: Kind) {
-        const LOOK_EVERY: Duration = Duration::from_millis(50);
-        tokio::time::sleep(JOIN_TIME).await;
-        let until = Instant::now() + FIRST_LIST_TIME;
-        while !self.is_watcher() && self.filled_up_to(kind).is_none() && Instant::now() < until {
-            tokio::time::sleep(LOOK_EVERY).await;
+    /// No callers come in the first seconds. When 77 instances each read the same list at once,
+    /// that cost more than all other calls of a quiet minute.
+    async fn wait_for_first_list(&self, kind: Kind) {
+        const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+        tokio::time::sleep(GOSSIP_JOIN_TIME).await;
+        let until = Instant::now() + FIRST_LIST_TIMEOUT;
+        while !self.is_watcher() && self.complete_position(kind).is_none() && Instant::now() < until
+        {
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
     }
 
-    /// At a start of this instance alone: has from a living one what it knows.
+    /// Fetches the state of a live instance when this instance starts in a running fleet.
     ///
-    /// Where instances are restarted one after the other each read whole lists of the store:
-    /// three calls for each start, most of those of a day on which all of 195 are.
-    async fn ask_seeds(&self, kind: Kind) {
-        let asking = async {
+    /// In a rolling restart each instance would otherwise read full lists from the store. That is
+    /// three calls for each start, and most of the calls on a day on which all of 195 instances
+    /// restart.
+    async fn fetch_from_seeds(&self, kind: Kind) {
+        let fetching = async {
             for seed in self.other_seeds() {
-                let nothing = Position::default();
-                match self.changes_from(seed, kind, nothing, SEED_TIME).await {
+                let start = Position::default();
+                match self.fetch_changes(seed, kind, start, SEED_TIMEOUT).await {
                     Ok(Some(changes)) if changes.is_whole => {
                         self.is_confirmed.set(true);
-                        return self.take(kind, &changes, "seed");
+                        return self.apply_changes(kind, &changes, "seed");
                     }
                     // It has just started too.
                     Ok(_) => {}
@@ -150,92 +158,95 @@
                 }
             }
         };
-        // Seeds may be stale or cut off; the store is asked then.
-        let _ = tokio::time::timeout(SEED_TIME, asking).await;
+        // Seeds may be stale or unreachable; the store is read in that case.
+        let _ = tokio::time::timeout(SEED_TIMEOUT, fetching).await;
     }
 
-    /// Waits until this process knows enough of the others to say who watches.
+    /// Waits until this process knows enough members to decide which instances watch.
     ///
-    /// One that knows nobody is a watcher: where all had lost power, 195 of them were.
+    /// An instance that knows no others is a watcher: after a power loss of the whole fleet, all
+    /// 195 instances were.
     async fn wait_until_joined(&self) {
-        let left_ms = JOINED_AFTER_MS.saturating_sub(self.shared.now_ms());
+        let left_ms = MIN_WATCH_AGE_MS.saturating_sub(self.shared.now_ms());
         tokio::time::sleep(Duration::from_millis(left_ms)).await;
     }
 
-    /// Place up to which the copy is complete, once it is filled.
-    pub(super) fn filled_up_to(&self, kind: Kind) -> Option<Position> {
+    /// Returns the position of the local copy, or `None` before the first full list.
+    pub(super) fn complete_position(&self, kind: Kind) -> Option<Position> {
         let mirrors = self.mirrors.borrow();
         mirrors.get(&kind).filter(|m| m.is_filled()).map(Mirror::position)
     }
 
-    /// While the store is lost a call doesn't wait there for changes.
+    /// Returns the time for which the store may hold a watch open.
     ///
-    /// The first watch after an outage would be answered only when its wait is over: two
-    /// seconds in which nobody knows that the store is back, and what was kept for the time
-    /// of the outage is kept two seconds too long.
-    fn watch_wait(&self) -> Duration {
-        if self.is_store_up.get() { WATCH_WAIT } else { Duration::from_millis(1) }
+    /// While the store is lost it is minimal. The first watch after an outage would otherwise be
+    /// answered only at its end: for 2 s nobody would know that the store is back, and entries
+    /// retained during the outage would stay 2 s too long.
+    fn watch_timeout(&self) -> Duration {
+        if self.is_store_up.get() { WATCH_TIMEOUT } else { Duration::from_millis(1) }
     }
 
-    fn next_poll(&self) -> Instant {
-        let times = u32::try_from((self.instances() / POLL_FOR_INSTANCES).max(1));
-        let wait = POLL * times.unwrap_or(u32::MAX);
-        // Spread, so that the polls of a fleet don't meet.
+    fn next_poll_at(&self) -> Instant {
+        let factor = u32::try_from((self.instances() / INSTANCES_PER_POLL_INTERVAL).max(1));
+        let wait = POLL_INTERVAL * factor.unwrap_or(u32::MAX);
+        // Jitter keeps the polls of a fleet apart.
         Instant::now() + wait.mul_f64(rand::random_range(0.8..1.2))
     }
 
-    /// Waits for a poll that is due at `at`; false if duties may have changed before.
-    async fn is_poll_due(&self, at: Instant) -> bool {
-        let duties = self.duties.notified();
-        tokio::time::timeout_at(at.into(), duties).await.is_err()
+    /// Waits for a poll that is due at `at`; returns false if roles may have changed before.
+    async fn wait_for_poll(&self, at: Instant) -> bool {
+        let roles_changed = self.roles_changed.notified();
+        tokio::time::timeout_at(at.into(), roles_changed).await.is_err()
     }
 
-    /// Waits before the next try, longer in a large fleet, until another is answered.
-    async fn pause(&self, pause: Duration) {
+    /// Waits before the next retry, or until the store answers another instance.
+    ///
+    /// The pause grows with the number of instances that retry.
+    async fn back_off(&self, pause: Duration) {
         let pause_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
-        // Few find out for all others, so that these may try often.
-        let sharing = if self.is_finder() { watchers::FINDERS } else { self.instances() };
-        let pause = Duration::from_millis(outage::pause_ms(pause_ms, sharing));
-        let answered = self.store_answers_another.notified();
-        if tokio::time::timeout(pause, answered).await.is_ok() {
-            let spread_ms = rand::random_range(0..RETURN_SPREAD_MS);
-            tokio::time::sleep(Duration::from_millis(spread_ms)).await;
+        // Only a few instances probe for the end of an outage, so they may do it often.
+        let sharers = if self.is_outage_prober() { watchers::FINDERS } else { self.instances() };
+        let pause = Duration::from_millis(outage::pause_ms(pause_ms, sharers));
+        let reached = self.peer_reached_store.notified();
+        if tokio::time::timeout(pause, reached).await.is_ok() {
+            let jitter_ms = rand::random_range(0..RECONNECT_JITTER_MS);
+            tokio::time::sleep(Duration::from_millis(jitter_ms)).await;
         }
     }
 
-    /// During an outage the calls for one kind find out when it is over.
+    /// Waits during an outage; only the task of one kind probes for its end.
     async fn wait_for_store(&self, kind: Kind) {
         if kind == Kind::Configuration {
             return;
         }
         while !self.is_store_up.get() {
-            let duties = self.duties.notified();
-            let longest = Duration::from_millis(MOST_PAUSE_MS);
-            // Waking without news is as good: the loop looks again.
-            let _ = tokio::time::timeout(longest, duties).await;
+            let roles_changed = self.roles_changed.notified();
+            let max_pause = Duration::from_millis(MOST_PAUSE_MS);
+            // A spurious wake-up does no harm: the loop checks again.
+            let _ = tokio::time::timeout(max_pause, roles_changed).await;
         }
     }
 
-    fn store_answered(&self) {
+    fn record_store_answer(&self) {
         let now_ms = self.shared.now_ms();
-        let silent_ms = now_ms.saturating_sub(self.heard_ms.replace(now_ms));
+        let silent_ms = now_ms.saturating_sub(self.store_answered_ms.replace(now_ms));
         if !self.is_store_up.replace(true) {
             log::info!("event=store_regained silent_ms={silent_ms}");
-            if silent_ms >= OUTAGE_MS {
+            if silent_ms >= MIN_OUTAGE_MS {
                 self.directory.borrow_mut().store_is_back(now_ms);
             }
             self.membership.borrow_mut().update_own(|m| m.is_store_reached = true);
-            self.spread_at_once();
-            self.duties.notify_waiters();
+            self.send_own_record();
+            self.roles_changed.notify_waiters();
         }
     }
 
-    fn store_failed(&self, error: &CollectionError) {
+    fn record_store_failure(&self, error: &CollectionError) {
         if self.is_store_up.replace(false) {
             log::warn!("event=store_lost cause=\"{error}\"");
             self.membership.borrow_mut().update_own(|m| m.is_store_reached = false);
-            self.spread_at_once();
-            self.duties.notify_waiters();
+            self.send_own_record();
+            self.roles_changed.notify_waiters();
         }
     }
 }
--- a/crates/router/src/control/instances.rs
+++ b/crates/router/src/control/instances.rs
@@ -1,4 +1,4 @@
-//! The store's entries of instances: by them those that start find the others.
+//! The store's entries of instances, by which starting instances find the others.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -9,83 +9,88 @@
 use eelgrasspier_store::{Announcement, Backoff, CollectionError, Kind};
 
 use super::Control;
-use super::follow::JOIN_TIME;
-
-/// Longest pause between two tries to write or read entries where gossip has found others:
-/// they serve only those that start later and find no seed.
-const MOST_LIST_PAUSE_MS: u64 = 5_000;
-/// Time between two reads of the entries by those who watch; gossip carries what changes, and
-/// the entries join what has lost each other.
-const LIST_EVERY: Duration = Duration::from_secs(20);
-/// Time between two looks at what is due; without a call of the store as a rule.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
-/// Age of the process from which it may have an entry: by then gossip has told it enough of
-/// the others to say which few have one.
-const ANNOUNCE_AFTER_MS: u64 = 5_000;
-/// The same for one that has found nobody: a seed that lives has answered by then, also where
-/// all have lost power and start together.
-const ALONE_AFTER_MS: u64 = 2_000;
-
-/// Time over which those that have entries write them again to a restored store.
-const ANNOUNCE_AGAIN_SPREAD_MS: u64 = 3_000;
-
-/// What this instance has done about the entries.
+use super::follow::GOSSIP_JOIN_TIME;
+
+/// Maximum pause between retries to write or read entries while other members are known.
+///
+/// The entries serve only instances that start later and find no seed.
+const MAX_LIST_PAUSE_MS: u64 = 5_000;
+/// Interval between reads of the entries by watchers.
+///
+/// Gossip carries changes; the entries only rejoin parts of the fleet that have lost each other.
+const LIST_INTERVAL: Duration = Duration::from_secs(20);
+/// Interval between checks for due work, most of which make no store call.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Process age from which it may write an entry, in milliseconds.
+///
+/// By then it has learnt enough members by gossip to decide which few have an entry.
+const MIN_ANNOUNCE_AGE_MS: u64 = 5_000;
+/// The same age for an instance that has found no others, in milliseconds.
+///
+/// A live seed has answered by then, even if all instances lost power and start together.
+const MIN_ANNOUNCE_AGE_ALONE_MS: u64 = 2_000;
+
+/// Jitter with which entries are written again to a restored store, in milliseconds.
+const REANNOUNCE_JITTER_MS: u64 = 3_000;
+
+/// State of this instance's work on the entries.
 #[derive(Debug, Default)]
-struct Entries {
-    /// Size of the fleet in the own entry, while there is one.
-    written: Option<u64>,
+struct EntryState {
+    /// Fleet size in the own entry; `None` if there is no entry or it must be written again.
+    written_size: Option<u64>,
+    /// Time of the last read of the entries.
     listed_at: Option<Instant>,
-    /// Era of the store in which the own entry is known to be there, and when to write it again
-    /// in a later one.
+    /// Era of the store at the last check; a later one schedules `rewrite_at`.
     era: u64,
-    due_at: Option<Instant>,
+    /// Time at which the own entry is written again after a restore.
+    rewrite_at: Option<Instant>,
 }
 
 impl Control {
-    /// Keeps the own entry, if this instance has one, and reads from time to time the others.
+    /// Keeps the own entry up to date, if this instance has one, and reads the others periodically.
     pub(super) async fn follow_instances(self: Rc<Self>) {
-        let mut pauses = Backoff::new(LEAST_PAUSE_MS, MOST_LIST_PAUSE_MS);
-        let mut entries = Entries::default();
+        let mut backoff = Backoff::new(LEAST_PAUSE_MS, MAX_LIST_PAUSE_MS);
+        let mut entries = EntryState::default();
         if self.identity.is_first_start {
-            tokio::time::sleep(JOIN_TIME).await;
+            tokio::time::sleep(GOSSIP_JOIN_TIME).await;
         }
         loop {
-            match self.do_what_is_due(&mut entries).await {
+            match self.sync_entries(&mut entries).await {
                 Ok(()) => {
-                    pauses.reset();
-                    tokio::time::sleep(LOOK_EVERY).await;
+                    backoff.reset();
+                    tokio::time::sleep(CHECK_INTERVAL).await;
                 }
-                // The call's own line has the cause.
-                Err(_) => tokio::time::sleep(self.list_pause(&mut pauses)).await,
+                // The failing call has logged the cause.
+                Err(_) => tokio::time::sleep(self.list_back_off(&mut backoff)).await,
             }
         }
     }
 
-    async fn do_what_is_due(&self, entries: &mut Entries) -> Result<(), CollectionError> {
+    async fn sync_entries(&self, entries: &mut EntryState) -> Result<(), CollectionError> {
         if self.is_list_due(entries) {
             self.list_instances(entries).await?;
         }
-        self.note_restore(entries);
+        self.schedule_rewrite_after_restore(entries);
         let instances = self.instances();
-        let is_current = entries.written.is_some_and(|n| !contacts::is_outdated(n, instances));
+        let is_current = entries.written_size.is_some_and(|n| !contacts::is_outdated(n, instances));
         if !is_current && self.may_announce() {
             let announced = self.store.announce(&self.announcement(instances)).await;
             announced.inspect_err(|e| log::info!("event=not_announced cause=\"{e}\""))?;
-            log::info!("event=announced instances={instances} before={:?}", entries.written);
-            entries.written = Some(instances);
+            log::info!("event=announced instances={instances} before={:?}", entries.written_size);
+            entries.written_size = Some(instances);
         }
         Ok(())
     }
 
-    /// Has the own entry written again some time after the store was restored.
-    fn note_restore(&self, entries: &mut Entries) {
+    /// Schedules a new write of the own entry after a restore of the store.
+    fn schedule_rewrite_after_restore(&self, entries: &mut EntryState) {
         let before = std::mem::replace(&mut entries.era, self.era());
         if before > 0 && before < entries.era {
-            let spread_ms = rand::random_range(0..ANNOUNCE_AGAIN_SPREAD_MS);
-            entries.due_at = Some(Instant::now() + Duration::from_millis(spread_ms));
+            let jitter_ms = rand::random_range(0..REANNOUNCE_JITTER_MS);
+            entries.rewrite_at = Some(Instant::now() + Duration::from_millis(jitter_ms));
         }
-        if entries.due_at.take_if(|at| Instant::now() >= *at).is_some() {
-            entries.written = None;
+        if entries.rewrite_at.take_if(|at| Instant::now() >= *at).is_some() {
+            entries.written_size = None;
         }
     }
 
@@ -93,18 +98,21 @@
         self.membership.borrow().alive_count() == 1
     }
 
-    /// Each reads the entries once, and those who watch go on: others hear from them. At the
-    /// first start of all there are none yet, and the seeds are fresh.
-    fn is_list_due(&self, entries: &Entries) -> bool {
+    /// True if the entries must be read now.
+    ///
+    /// Each instance reads them once and watchers go on; the others learn of changes by gossip. At
+    /// the first start of the system there are no entries yet, and the seeds are up to date.
+    fn is_list_due(&self, entries: &EntryState) -> bool {
         match entries.listed_at {
-            Some(at) => (self.is_alone() || self.is_watcher()) && at.elapsed() >= LIST_EVERY,
+            Some(at) => (self.is_alone() || self.is_watcher()) && at.elapsed() >= LIST_INTERVAL,
             None => self.is_alone() || self.is_watcher() || !self.identity.is_first_start,
         }
     }
 
     fn may_announce(&self) -> bool {
-        let after_ms = if self.is_alone() { ALONE_AFTER_MS } else { ANNOUNCE_AFTER_MS };
-        self.shared.now_ms() >= after_ms && self.is_contact()
+        let min_age_ms =
+            if self.is_alone() { MIN_ANNOUNCE_AGE_ALONE_MS } else { MIN_ANNOUNCE_AGE_MS };
+        self.shared.now_ms() >= min_age_ms && self.is_contact()
     }
 
     fn announcement(&self, instances: u64) -> Announcement {
@@ -116,8 +124,8 @@
         }
     }
 
-    async fn list_instances(&self, entries: &mut Entries) -> Result<(), CollectionError> {
-        // Seconds are nothing to an entry, and a stale read costs a tenth.
+    async fn list_instances(&self, entries: &mut EntryState) -> Result<(), CollectionError> {
+        // Entries may be seconds old, and a stale read costs a tenth of a current one.
         let changes = self.store.list(Kind::Instances, true).await;
         let changes =
             changes.inspect_err(|e| log::info!("event=instances_not_listed cause=\"{e}\""))?;
@@ -126,27 +134,29 @@
             read.inspect_err(|e| log::warn!("event=instance_unreadable cause=\"{e}\"")).ok()
         });
         let read: Vec<Announcement> = read.collect();
-        let named = u64::try_from(read.len()).unwrap_or(u64::MAX);
-        let fleet = read.iter().map(|a| a.instances).fold(named, u64::max);
+        let entry_count = u64::try_from(read.len()).unwrap_or(u64::MAX);
+        let fleet = read.iter().map(|a| a.instances).fold(entry_count, u64::max);
         let listed: Vec<Listed> = read.into_iter().map(to_listed).collect();
         self.membership.borrow_mut().set_listed(&listed);
         if entries.listed_at.replace(Instant::now()).is_none() {
             let others = listed.iter().filter(|l| l.name != self.identity.name);
-            self.greet(others.map(|l| l.peer_addr));
+            self.greet_instances(others.map(|l| l.peer_addr));
         }
-        if self.listed_fleet.replace(Some(fleet)) != Some(fleet) {
+        if self.listed_fleet_size.replace(Some(fleet)) != Some(fleet) {
             self.publish();
         }
-        self.tidy(&listed, entries).await;
+        self.withdraw_gone(&listed, entries).await;
         Ok(())
     }
 
-    /// Withdraws entries of instances that are gone, and has the own one written where it is.
-    async fn tidy(&self, listed: &[Listed], entries: &mut Entries) {
+    /// Withdraws entries of instances that are gone; has a missing own entry written again.
+    async fn withdraw_gone(&self, listed: &[Listed], entries: &mut EntryState) {
         let names: Vec<&str> = listed.iter().map(|l| l.name.as_str()).collect();
         let own = self.identity.name.as_str();
-        if entries.written.is_some() && self.roster.borrow_mut().is_own_lost(names.contains(&own)) {
-            entries.written = None;
+        if entries.written_size.is_some()
+            && self.roster.borrow_mut().is_own_lost(names.contains(&own))
+        {
+            entries.written_size = None;
         }
         let gone = {
             let membership = self.membership.borrow();
@@ -154,7 +164,7 @@
             let is_there = |name: &str| name == own || alive.contains(&name);
             self.roster.borrow_mut().gone(&names, is_there, self.shared.now_ms())
         };
-        // Few watch, so that few withdraw; that two of them do is as good.
+        // Only watchers withdraw, to limit the number of calls. Withdrawing twice does no harm.
         for name in gone.iter().filter(|_| self.is_watcher()) {
             match self.store.withdraw(name).await {
                 Ok(()) => log::info!("event=instance_withdrawn instance={name}"),
@@ -165,9 +175,9 @@
         }
     }
 
-    /// Pause before the next try to write or read entries.
-    fn list_pause(&self, pauses: &mut Backoff) -> Duration {
-        let pause = pauses.next_pause();
+    /// Returns the pause before the next retry to write or read entries.
+    fn list_back_off(&self, backoff: &mut Backoff) -> Duration {
+        let pause = backoff.next_pause();
         if self.is_alone() { pause.min(Duration::from_millis(MOST_PAUSE_MS)) } else { pause }
     }
 }
--- a/crates/router/src/control/join.rs
+++ b/crates/router/src/control/join.rs
@@ -1,9 +1,10 @@
-//! How an instance that starts gets to know the fleet.
+//! How a starting instance learns the members of the fleet.
 //!
-//! Gossip brings a dozen records with each datagram, so that 195 instances that start together
-//! knew each other after ten seconds, and until then each asked replicas of all zones itself in
-//! place of the instances beside them. So one that starts asks one that others have greeted
-//! for all records that it knows, a few times while they are still coming in.
+//! A gossip datagram carries a dozen records, so 195 instances that started together knew each
+//! other only after 10 s. Until then each sent requests to replicas of all zones itself instead of
+//! through the instances of those zones. A starting instance therefore fetches the full member
+//! table from an instance that others greet too, a few times while records are still arriving
+//! there.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,33 +16,35 @@
 use super::Control;
 use crate::zone_bytes::Cause;
 
-/// Ages of the process at which it asks, in milliseconds: the first when all that have started
-/// with it have greeted somebody, the others in case that they started later.
-const ASK_AT_MS: [u64; 4] = [400, 1_000, 2_000, 4_000];
-/// Time for an answer: 20 KB from an instance that others ask as well.
-const ANSWER_TIME: Duration = Duration::from_millis(300);
+/// Process ages at which the member table is fetched, in milliseconds.
+///
+/// At the first, all instances that started together have sent a greeting; the later ones cover
+/// instances that started after them.
+const FETCH_AGES_MS: [u64; 4] = [400, 1_000, 2_000, 4_000];
+/// Request timeout, for 20 KB from an instance that others ask at the same time.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(300);
 
 impl Control {
-    /// Asks others for the records of all instances, until they bring nothing new.
+    /// Fetches the member table from other instances until it contains nothing new.
     pub(super) async fn join(self: Rc<Self>) {
         self.greet_seeds();
-        for at_ms in ASK_AT_MS {
-            // Spread, so that those that start together don't ask together.
+        for at_ms in FETCH_AGES_MS {
+            // Jitter keeps the requests of instances that start together apart.
             let at_ms = at_ms + rand::random_range(0..at_ms / 4);
             let pause_ms = at_ms.saturating_sub(self.shared.now_ms());
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
-            let Some(addr) = self.whom_to_ask() else { continue };
-            match self.records_from(addr).await {
+            let Some(addr) = self.member_table_peer() else { continue };
+            match self.fetch_members(addr).await {
                 Ok(Members { members, reports }) => {
                     let now_ms = self.shared.now_ms();
-                    let (told, known) = (members.len(), self.membership.borrow().alive_count());
+                    let (received, known) = (members.len(), self.membership.borrow().alive_count());
                     self.membership.borrow_mut().learn_table(&members, now_ms);
                     self.membership.borrow_mut().learn_reports(&reports, now_ms);
                     let after = self.membership.borrow().alive_count();
                     log::info!(
-                        "event=members_fetched from={addr} told={told} known={known} after={after}"
+                        "event=members_fetched from={addr} told={received} known={known} after={after}"
                     );
-                    self.refresh();
+                    self.process_member_changes();
                     if after == known && known > 1 {
                         return;
                     }
@@ -51,14 +54,14 @@
         }
     }
 
-    /// One that others greet too: it has an entry in the store, or is a seed.
-    fn whom_to_ask(&self) -> Option<SocketAddr> {
+    /// Returns an instance that others greet too: one with an entry in the store, or else a seed.
+    fn member_table_peer(&self) -> Option<SocketAddr> {
         let listed = self.membership.borrow().listed_alive(rand::random());
         listed.or_else(|| self.other_seeds().min_by_key(|_| rand::random::<u32>()))
     }
 
-    async fn records_from(&self, addr: SocketAddr) -> Result<Members, PeerError> {
-        let answer = self.links.ask(addr, Body::MembersAsk(Nothing {}), ANSWER_TIME).await?;
+    async fn fetch_members(&self, addr: SocketAddr) -> Result<Members, PeerError> {
+        let answer = self.links.ask(addr, Body::MembersAsk(Nothing {}), FETCH_TIMEOUT).await?;
         self.count_bytes(Cause::Members, addr, answer.encoded_len());
         match answer {
             Body::Members(answer) => Ok(answer),
--- a/crates/router/src/control/members.rs
+++ b/crates/router/src/control/members.rs
@@ -1,4 +1,4 @@
-//! Gossip with the other instances: who is there, and what they are told.
+//! Gossip with the other instances: membership and announcements.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -13,17 +13,20 @@
 use super::Control;
 use crate::zone_bytes::{self, Cause};
 
-/// Instances that are told of news at once, those of the own zone first; gossip tells the
-/// rest, too late for a configuration where a zone has many more; a datagram has some 150 bytes.
-pub(super) const TOLD_AT_ONCE: usize = 100;
-/// Of them, instances of other zones at the most: one that fetches for each zone, and some more
-/// in case that one of these is lost. With many the datagrams that tell of a change cost more bytes
-/// between zones than the change.
-pub(super) const FAR_AT_ONCE: usize = 16;
-/// Time between two records of an instance that does not watch, in milliseconds.
-const TELL_EVERY_MS: u64 = 30_000;
-/// Greets seeds at one tick in this many while nobody else is known.
-const GREET_ONE_IN: u64 = 5;
+/// Maximum number of instances that are notified of a change directly, own zone first.
+///
+/// Gossip notifies the rest. In a zone with many more instances it is too slow for a configuration.
+/// A datagram has about 150 bytes.
+pub(super) const MAX_NOTIFIED: usize = 100;
+/// Maximum number of instances of other zones among those notified directly.
+///
+/// It covers the fetching instance of each zone and some more in case one of them is lost. With
+/// many more, the notifications of a change cost more bytes between zones than the change.
+pub(super) const MAX_REMOTE_NOTIFIED: usize = 16;
+/// Minimum interval between announcements of an instance that is no source, in milliseconds.
+const ANNOUNCE_INTERVAL_MS: u64 = 30_000;
+/// Average number of ticks between greetings to the seeds while no other instance is known.
+const MEAN_TICKS_PER_GREETING: u64 = 5;
 
 pub(super) async fn receive_all(
     control: Rc<Control>,
@@ -31,10 +34,10 @@
 ) {
     while let Some((datagram, from)) = received.next().await {
         let now_ms = control.shared.now_ms();
-        control.shared.note_heard();
+        control.shared.record_peer_contact();
         let sends = control.membership.borrow_mut().receive(now_ms, from, &datagram);
         control.send(sends);
-        control.refresh();
+        control.process_member_changes();
     }
 }
 
@@ -43,28 +46,28 @@
         let now_ms = self.shared.now_ms();
         let sends = self.membership.borrow_mut().tick(now_ms, rand::random());
         self.send(sends);
-        self.greet_seeds_while_alone();
-        self.refresh();
+        self.greet_seeds_if_alone();
+        self.process_member_changes();
     }
 
-    fn greet_seeds_while_alone(&self) {
+    fn greet_seeds_if_alone(&self) {
         let is_alone = self.membership.borrow().alive_count() == 1;
-        if is_alone && rand::random::<u64>().is_multiple_of(GREET_ONE_IN) {
+        if is_alone && rand::random::<u64>().is_multiple_of(MEAN_TICKS_PER_GREETING) {
             self.greet_seeds();
         }
     }
 
     pub(super) fn greet_seeds(&self) {
-        self.greet(self.other_seeds());
+        self.greet_instances(self.other_seeds());
     }
 
-    /// Makes this instance known to those at the given addresses.
-    pub(super) fn greet(&self, addrs: impl Iterator<Item = SocketAddr>) {
+    /// Sends a greeting to the instances at the given addresses.
+    pub(super) fn greet_instances(&self, addrs: impl Iterator<Item = SocketAddr>) {
         let greetings = addrs.map(|addr| self.membership.borrow_mut().greet(addr));
         self.send(greetings.collect());
     }
 
-    /// Where some other instances are, or were.
+    /// Returns the configured seed addresses except the own one; they may be stale.
     pub(super) fn other_seeds(&self) -> impl Iterator<Item = SocketAddr> {
         let own = self.identity.peer_addr;
         self.identity.seeds.iter().copied().filter(move |addr| *addr != own)
@@ -72,41 +75,41 @@
 
     /// Counts bytes to or from the instance at `addr`.
     pub(super) fn count_bytes(&self, cause: Cause, addr: SocketAddr, bytes: usize) {
-        zone_bytes::count(cause, self.far_addrs.borrow().contains(&addr), bytes);
+        zone_bytes::count(cause, self.remote_zone_addrs.borrow().contains(&addr), bytes);
     }
 
     pub(super) fn send(&self, sends: Vec<Send>) {
         for send in sends {
             self.count_bytes(Cause::Gossip, send.to, send.datagram.encoded_len());
-            // The sender's task lives as long as this thread.
-            let _gone = self.outbox.send(send).is_err();
+            // The receiving task lives as long as this thread.
+            let _is_disconnected = self.outbox.send(send).is_err();
         }
     }
 
-    /// Draws the conclusions from what has changed among the members.
-    pub(super) fn refresh(self: &Rc<Self>) {
+    /// Processes the membership changes that have accumulated.
+    pub(super) fn process_member_changes(self: &Rc<Self>) {
         let changes = self.membership.borrow_mut().take_changes();
         let has_changes = !changes.is_empty();
         let mut reports = Vec::new();
         for change in changes {
-            note(&change);
+            log_change(&change);
             if let Change::Reported(report) = change {
                 reports.push(report);
             }
         }
-        self.pass_on(reports);
+        self.forward_reports(reports);
         if has_changes {
-            // With the next tick: while a fleet starts, each datagram brings changes, and to
-            // draw conclusions from each of 200 records by itself holds up callers' requests.
-            self.has_member_news.set(true);
+            // Published with the next tick. While a fleet starts each datagram brings changes, and
+            // publishing for each of 200 records delayed callers' requests.
+            self.has_member_changes.set(true);
         }
-        // Also where a record only says that the store does not answer: without this nobody
-        // stepped in before the next poll, and a change was in force five seconds late.
+        // The epoch also changes when a record only reports the store as unreachable. Without this
+        // no other instance stepped in before its next poll, and a change was in force 5 s late.
         let epoch = self.membership.borrow().epoch();
-        if self.seen_epoch.replace(epoch) != epoch {
-            self.duties.notify_waiters();
+        if self.roles_epoch.replace(epoch) != epoch {
+            self.roles_changed.notify_waiters();
         }
-        self.judge_store();
+        self.detect_peer_outage();
         self.fetch_newer(Kind::Configuration);
         self.fetch_newer(Kind::Replicas);
         if self.identity.has_evacuations {
@@ -114,33 +117,34 @@
         }
     }
 
-    /// Learns of an outage that only others have noticed.
+    /// Detects a store outage that only other instances have noticed.
     ///
-    /// Instances that don't watch hear that entries are gone from those who do; without
-    /// this they would drop entries that lapsed because the store was away.
-    fn judge_store(&self) {
-        let is_turned_away = |m: &Member| !m.is_store_reached;
-        let is_any = self.membership.borrow().alive().any(is_turned_away);
-        if self.is_any_turned_away.replace(is_any) && !is_any {
+    /// Non-watching instances learn of missing entries from the watchers. Without this check they
+    /// would drop entries that lapsed because of the outage.
+    fn detect_peer_outage(&self) {
+        let is_without_store = |m: &Member| !m.is_store_reached;
+        let has_any = self.membership.borrow().alive().any(is_without_store);
+        if self.has_peer_without_store.replace(has_any) && !has_any {
             self.directory.borrow_mut().store_is_back(self.shared.now_ms());
-            self.duties.notify_waiters();
+            self.roles_changed.notify_waiters();
         }
-        let answered = self.membership.borrow().alive().filter(|m| m.is_store_reached).count();
-        let before = self.answered_by_store.replace(answered);
-        if before == 0 && answered > 0 && !self.is_store_up.get() {
-            // Before anything is fetched from the one that is answered: it may tell of entries
-            // that lapsed, and an instance that dropped them knew no replica for two seconds.
+        let reaching = self.membership.borrow().alive().filter(|m| m.is_store_reached).count();
+        let before = self.peers_reaching_store.replace(reaching);
+        if before == 0 && reaching > 0 && !self.is_store_up.get() {
+            // This comes before fetching changes from the instance that the store answers. Those
+            // may contain entries that lapsed in the outage, and an instance that dropped them had
+            // no replicas for 2 s.
             self.directory.borrow_mut().store_is_back(self.shared.now_ms());
-            self.store_answers_another.notify_waiters();
+            self.peer_reached_store.notify_waiters();
         }
     }
 
-    /// Tells the others what this instance has taken in.
-    pub(super) fn announce_changes(&self) {
-        // Others fetch from these; that each instance told of each change cost more bytes than
-        // the changes themselves.
-        let is_source = self.is_watcher() || self.is_fetcher() || self.has_newest_version();
-        if !is_source && !self.is_told_due() {
+    /// Announces the positions and the configuration version of this instance.
+    pub(super) fn announce_positions(&self) {
+        // The other instances fetch from these. When each instance announced each change, that cost
+        // more bytes than the changes themselves.
+        let is_source = self.is_watcher() || self.is_fetcher() || self.has_sole_newest_version();
+        if !is_source && !self.is_announcement_due() {
             return;
         }
         let position =
@@ -156,32 +160,37 @@
             m.config_version = version;
         });
         if is_source {
-            self.spread_at_once();
+            self.send_own_record();
         }
     }
 
-    /// Whether nobody else tells of a version as new as the one in force here.
+    /// True if no other instance announces a version as new as the one in force here.
     ///
-    /// A restored store may lack it, and those who watch the store may have started since.
-    fn has_newest_version(&self) -> bool {
-        let told = self.membership.borrow().alive().map(|m| m.config_version).max();
-        self.configuration.borrow().as_ref().is_some_and(|c| Some(c.version) > told)
+    /// A restored store may lack that version, and the watchers may have started since.
+    fn has_sole_newest_version(&self) -> bool {
+        let announced = self.membership.borrow().alive().map(|m| m.config_version).max();
+        self.configuration.borrow().as_ref().is_some_and(|c| Some(c.version) > announced)
     }
 
-    /// Whether an instance that does not watch may tell again what it has taken in.
-    fn is_told_due(&self) -> bool {
+    /// True if an instance that is no source may announce its positions again.
+    ///
+    /// Records the time of the announcement if so.
+    fn is_announcement_due(&self) -> bool {
         let now_ms = self.shared.now_ms();
-        let is_due = now_ms >= self.told_ms.get() + TELL_EVERY_MS;
+        let is_due = now_ms >= self.announced_ms.get() + ANNOUNCE_INTERVAL_MS;
         if is_due {
-            self.told_ms.set(now_ms);
+            self.announced_ms.set(now_ms);
         }
         is_due
     }
 
-    /// Sends the own record to some others without waiting for a round of gossip.
-    pub(super) fn spread_at_once(&self) {
-        let sends =
-            self.membership.borrow_mut().farewell(TOLD_AT_ONCE, FAR_AT_ONCE, rand::random());
+    /// Sends the own record to some other instances without waiting for a gossip round.
+    pub(super) fn send_own_record(&self) {
+        let sends = self.membership.borrow_mut().farewell(
+            MAX_NOTIFIED,
+            MAX_REMOTE_NOTIFIED,
+            rand::random(),
+        );
         self.send(sends);
     }
 
@@ -191,19 +200,19 @@
             membership.update_own(|m| m.state = State::Ready as i32);
             drop(membership);
             log::info!("event=ready");
-            // Others ask it for parts only once they know.
-            self.spread_at_once();
+            // The others send it gather requests only after they have learnt that it is ready.
+            self.send_own_record();
         }
     }
 
-    /// Tells the others that this instance takes nothing new.
-    pub(super) fn leave(&self) {
+    /// Announces that this instance accepts no new requests.
+    pub(super) fn announce_leaving(&self) {
         self.membership.borrow_mut().update_own(|m| m.state = State::Leaving as i32);
-        self.spread_at_once();
+        self.send_own_record();
     }
 }
 
-fn note(change: &Change) {
+fn log_change(change: &Change) {
     match change {
         Change::State(name) => log::info!("event=instance_state instance={name}"),
         Change::Joined(name) => log::info!("event=instance_joined instance={name}"),
@@ -211,8 +220,8 @@
         Change::Died(name) => log::info!("event=instance_dead instance={name}"),
         Change::Left(name) => log::info!("event=instance_left instance={name}"),
         Change::Refuted => log::info!("event=suspicion_refuted"),
-        // Replicas that leave are learnt from the store's entries; what follows from a report
-        // the traffic thread writes down.
+        // The store's entries report replicas that are leaving, and the traffic thread logs
+        // findings from reports.
         Change::ServerLeaving(_) | Change::Reported(_) => {}
     }
 }
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -1,15 +1,15 @@
-//! The control thread: follows the store and the other instances, publishes views.
+//! The control thread: follows the store, gossips with other instances and publishes views.
 
-mod duties;
+mod apply;
 mod fetch;
 mod follow;
 mod instances;
 mod join;
-mod kept;
 mod members;
 mod reports;
 mod restore;
-mod take;
+mod roles;
+mod stored_suspects;
 mod views;
 
 use std::cell::{Cell, RefCell};
@@ -34,25 +34,25 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 
 use crate::view::{Replicas, Shared};
-use kept::Kept;
+use stored_suspects::StoredSuspects;
 
-/// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval at which expirations and membership timers are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What other threads ask of the control thread.
+/// A request from another thread to the control thread.
 #[derive(Debug)]
 pub(crate) enum Ask {
-    /// Another instance wants changes of a kind above a place.
-    Changes { kind: Kind, above: Position, done: oneshot::Sender<Changes> },
-    /// Another instance wants the records of all instances.
-    Members { done: oneshot::Sender<wire::Members> },
-    /// Something was found out of requests that end replicas.
+    /// Another instance requests the changes of a kind after a position.
+    Changes { kind: Kind, after: Position, reply: oneshot::Sender<Changes> },
+    /// Another instance requests its member table.
+    Members { reply: oneshot::Sender<wire::Members> },
+    /// The traffic thread has new reports on requests that crash replicas.
     Tell(Vec<Report>),
     /// A planned stop begins.
     Stop,
 }
 
-/// This instance as others see it.
+/// The identity and fixed settings of this instance.
 #[derive(Debug, Clone)]
 pub(crate) struct Identity {
     pub(crate) name: String,
@@ -74,61 +74,61 @@
     links: Links,
     membership: RefCell<Membership>,
     outbox: mpsc::UnboundedSender<Send>,
-    /// To the traffic thread: what others know of requests that end replicas.
-    told: mpsc::UnboundedSender<Vec<Report>>,
+    /// Sends reports of other instances on crashing requests to the traffic thread.
+    reports_to_traffic: mpsc::UnboundedSender<Vec<Report>>,
     mirrors: RefCell<HashMap<Kind, Mirror>>,
     directory: RefCell<Directory>,
-    /// Zones whose replicas are to get nothing.
+    /// Zones whose replicas must not receive requests.
     evacuations: RefCell<Evacuations>,
-    /// Replicas of the directory that take new work, by service.
+    /// Replicas of the directory that accept new requests, by service.
     replicas: RefCell<Arc<Replicas>>,
-    /// Until when replicas are cold, where what they get is bounded.
+    /// Time until which each rate-limited replica is cold.
     cold_until_ms: RefCell<Arc<HashMap<Arc<str>, u64>>>,
-    /// Since when those of each zone who gather are the same.
-    settled: RefCell<Settled>,
-    /// Addresses of instances in other zones, as of the last view.
-    far_addrs: RefCell<HashSet<SocketAddr>>,
-    /// Whether members have changed since the last view.
-    has_member_news: Cell<bool>,
+    /// Time since which the set of gathering instances of each zone is unchanged.
+    gatherer_stability: RefCell<Settled>,
+    /// Addresses of instances in other zones, as of the last published view.
+    remote_zone_addrs: RefCell<HashSet<SocketAddr>>,
+    /// True if members have changed since the last published view.
+    has_member_changes: Cell<bool>,
     configuration: RefCell<Option<Arc<Configuration>>>,
     table: RefCell<Arc<RouteTable>>,
-    /// When the store last answered, in milliseconds.
-    heard_ms: Cell<u64>,
+    /// Time of the store's last answer, in milliseconds.
+    store_answered_ms: Cell<u64>,
     is_store_up: Cell<bool>,
-    /// How often the store has been restored from a copy.
+    /// The era of the store, which increases with each restore from a backup.
     eras: RefCell<Eras>,
-    /// The last era of the store that was told though a later one was known.
-    told_back: Cell<Option<u64>>,
-    /// Wakes those whose call of the store began before a restore.
-    restored: Notify,
-    /// Whether another instance was asked what it knows, which a restored store may lack.
+    /// The last era reported by the store that was lower than a known one.
+    regressed_era: Cell<Option<u64>>,
+    /// Wakes store calls that began before a restore.
+    store_restored: Notify,
+    /// True once another instance was asked for objects that a restored store may lack.
     is_confirmed: Cell<bool>,
-    /// Other instances that the store answers, as they say.
-    answered_by_store: Cell<usize>,
-    /// Rings when the store answers another instance, after it answered none.
-    store_answers_another: Notify,
-    /// Whether some instance said that the store does not answer it.
-    is_any_turned_away: Cell<bool>,
-    /// When an instance that does not watch last told what it has taken in.
-    told_ms: Cell<u64>,
-    /// Since when only instances of other zones have seen more, in milliseconds.
+    /// Number of other instances that report the store as reachable.
+    peers_reaching_store: Cell<usize>,
+    /// Signalled when the store becomes reachable for another instance after being so for none.
+    peer_reached_store: Notify,
+    /// True if some other instance reports the store as unreachable.
+    has_peer_without_store: Cell<bool>,
+    /// Time at which a non-watching instance last announced its positions, in milliseconds.
+    announced_ms: Cell<u64>,
+    /// Time since which only instances of other zones are ahead, in milliseconds.
     behind_since_ms: RefCell<HashMap<Kind, u64>>,
-    /// The members' epoch from which duties were last drawn.
-    seen_epoch: Cell<u64>,
-    /// Who is listed and not there.
+    /// Membership epoch at which roles were last evaluated.
+    roles_epoch: Cell<u64>,
+    /// Listed instances that are not alive.
     roster: RefCell<Roster>,
-    /// Instances of the fleet as the store's entries say, once these were read.
-    listed_fleet: Cell<Option<u64>>,
-    /// Changes that are being pulled from other instances.
+    /// Fleet size according to the store's entries; `None` until they have been read.
+    listed_fleet_size: Cell<Option<u64>>,
+    /// Changes that are being fetched from other instances.
     pulls: RefCell<HashMap<Kind, Pulls>>,
-    /// Wakes those whose duties may have changed.
-    duties: Notify,
-    /// What the store keeps of requests that end replicas.
-    kept: Kept,
+    /// Wakes tasks when roles may have changed.
+    roles_changed: Notify,
+    /// State of the crashing requests that the store holds.
+    stored_suspects: StoredSuspects,
 }
 
 impl Control {
-    /// Starts all of control on the thread that calls it.
+    /// Starts all control tasks on the calling thread.
     ///
     /// # Errors
     /// Fails if the gossip socket can't be bound.
@@ -136,49 +136,49 @@
         shared: Arc<Shared>,
         identity: Identity,
         (store, decode): (Rc<dyn Collections>, Arc<dyn Decode>),
-        asks: mpsc::UnboundedReceiver<Ask>,
-        told: mpsc::UnboundedSender<Vec<Report>>,
+        requests: mpsc::UnboundedReceiver<Ask>,
+        reports_to_traffic: mpsc::UnboundedSender<Vec<Report>>,
     ) -> std::io::Result<()> {
         let (gossip, received) = eelgrasspier_peer::Gossip::bind(identity.peer_addr).await?;
         let (outbox, outgoing) = mpsc::unbounded_channel();
         let is_first_start = identity.is_first_start;
         let control = Rc::new(Self {
             membership: RefCell::new(Membership::new(own_member(&identity))),
-            // Nobody orders these frames, so they carry no clock stamp.
+            // These frames need no order, so they carry no clock stamp.
             links: Links::new(Rc::new(|| 0)),
             shared,
             identity,
             store,
             decode,
             outbox,
-            told,
+            reports_to_traffic,
             mirrors: RefCell::default(),
             directory: RefCell::default(),
             evacuations: RefCell::default(),
             replicas: RefCell::default(),
             cold_until_ms: RefCell::default(),
-            settled: RefCell::default(),
-            far_addrs: RefCell::default(),
-            has_member_news: Cell::new(false),
+            gatherer_stability: RefCell::default(),
+            remote_zone_addrs: RefCell::default(),
+            has_member_changes: Cell::new(false),
             configuration: RefCell::default(),
             table: RefCell::default(),
-            heard_ms: Cell::new(0),
+            store_answered_ms: Cell::new(0),
             is_store_up: Cell::new(true),
             eras: RefCell::default(),
-            told_back: Cell::new(None),
-            restored: Notify::new(),
+            regressed_era: Cell::new(None),
+            store_restored: Notify::new(),
             is_confirmed: Cell::new(is_first_start),
-            answered_by_store: Cell::new(0),
-            store_answers_another: Notify::new(),
-            is_any_turned_away: Cell::new(false),
-            told_ms: Cell::new(0),
+            peers_reaching_store: Cell::new(0),
+            peer_reached_store: Notify::new(),
+            has_peer_without_store: Cell::new(false),
+            announced_ms: Cell::new(0),
             behind_since_ms: RefCell::default(),
-            seen_epoch: Cell::new(0),
+            roles_epoch: Cell::new(0),
             roster: RefCell::default(),
-            listed_fleet: Cell::new(None),
+            listed_fleet_size: Cell::new(None),
             pulls: RefCell::default(),
-            duties: Notify::new(),
-            kept: Kept::default(),
+            roles_changed: Notify::new(),
+            stored_suspects: StoredSuspects::default(),
         });
         actix_rt::spawn(gossip.send_all(outgoing));
         actix_rt::spawn(members::receive_all(Rc::clone(&control), Box::pin(received)));
@@ -189,57 +189,58 @@
         }
         actix_rt::spawn(Rc::clone(&control).follow_instances());
         actix_rt::spawn(Rc::clone(&control).join());
-        actix_rt::spawn(Rc::clone(&control).confirm());
-        actix_rt::spawn(Rc::clone(&control).keep_again_after_restores());
-        actix_rt::spawn(Rc::clone(&control).recall_kept());
-        actix_rt::spawn(Rc::clone(&control).follow_due());
+        actix_rt::spawn(Rc::clone(&control).confirm_with_peer());
+        actix_rt::spawn(Rc::clone(&control).rewrite_suspects_after_restores());
+        actix_rt::spawn(Rc::clone(&control).load_suspects_at_start());
+        actix_rt::spawn(Rc::clone(&control).write_due_suspects());
         actix_rt::spawn(Rc::clone(&control).tick());
-        actix_rt::spawn(control.answer_asks(asks));
+        actix_rt::spawn(control.answer_requests(requests));
         Ok(())
     }
 
-    async fn answer_asks(self: Rc<Self>, mut asks: mpsc::UnboundedReceiver<Ask>) {
-        while let Some(ask) = asks.recv().await {
-            match ask {
-                Ask::Changes { kind, above, done } => {
+    async fn answer_requests(self: Rc<Self>, mut requests: mpsc::UnboundedReceiver<Ask>) {
+        while let Some(request) = requests.recv().await {
+            match request {
+                Ask::Changes { kind, after, reply } => {
                     let mirrors = self.mirrors.borrow();
-                    let changes = mirrors.get(&kind).map(|m| m.since(above));
-                    // The asker's connection may have gone meanwhile.
-                    let _gone = done.send(changes.unwrap_or_default()).is_err();
+                    let changes = mirrors.get(&kind).map(|m| m.since(after));
+                    // The requester may have disconnected.
+                    let _is_disconnected = reply.send(changes.unwrap_or_default()).is_err();
                 }
-                Ask::Members { done } => {
+                Ask::Members { reply } => {
                     let membership = self.membership.borrow();
                     let reports = membership.reports(self.shared.now_ms());
                     let answer = wire::Members { members: membership.table(), reports };
-                    let _gone = done.send(answer).is_err();
+                    let _is_disconnected = reply.send(answer).is_err();
                 }
-                Ask::Tell(reports) => self.tell_reports(&reports),
-                Ask::Stop => self.leave(),
+                Ask::Tell(reports) => self.send_reports(&reports),
+                Ask::Stop => self.announce_leaving(),
             }
         }
     }
 
     async fn tick(self: Rc<Self>) {
         loop {
-            self.expire_kept();
+            self.expire_retained();
             if self.directory.borrow_mut().expire(self.shared.now_ms()) {
                 log::info!("event=lapsed_entries_dropped");
-                self.list_replicas();
+                self.rebuild_replicas();
                 self.publish();
             }
             self.tick_members();
-            if self.has_member_news.get() {
+            if self.has_member_changes.get() {
                 self.publish();
             }
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
         }
     }
 }
 
 fn own_member(identity: &Identity) -> Member {
-    let since_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    // Only an order of starts; a predecessor with a higher one is overtaken when heard of.
-    let incarnation = since_epoch.map_or(1, |d| u64::try_from(d.as_millis()).unwrap_or(1));
+    let since_unix_epoch = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+    // Only orders restarts. If a predecessor had a higher value, this one is raised after it as
+    // soon as gossip reports it.
+    let incarnation = since_unix_epoch.map_or(1, |d| u64::try_from(d.as_millis()).unwrap_or(1));
     Member {
         name: identity.name.clone(),
         incarnation,
--- a/crates/router/src/control/reports.rs
+++ b/crates/router/src/control/reports.rs
@@ -1,27 +1,31 @@
-//! What is known of requests that end replicas: told to the others.
+//! Exchange of reports on requests that crash replicas.
 
 use eelgrasspier_decide::quarantine::Report;
 
 use super::Control;
-use super::members::{FAR_AT_ONCE, TOLD_AT_ONCE};
+use super::members::{MAX_NOTIFIED, MAX_REMOTE_NOTIFIED};
 
 impl Control {
-    /// Tells others what this instance has found out.
-    pub(super) fn tell_reports(&self, reports: &[Report]) {
-        let (now_ms, most) = (self.shared.now_ms(), (TOLD_AT_ONCE, FAR_AT_ONCE));
-        let sends =
-            self.membership.borrow_mut().tell_reports(reports, now_ms, most, rand::random());
+    /// Sends reports of this instance to some others and schedules their store writes.
+    pub(super) fn send_reports(&self, reports: &[Report]) {
+        let (now_ms, max_notified) = (self.shared.now_ms(), (MAX_NOTIFIED, MAX_REMOTE_NOTIFIED));
+        let sends = self.membership.borrow_mut().tell_reports(
+            reports,
+            now_ms,
+            max_notified,
+            rand::random(),
+        );
         self.send(sends);
-        self.keep_reports(reports, true);
+        self.schedule_suspect_writes(reports, true);
     }
 
-    /// Passes what others have found out on to the traffic thread.
-    pub(super) fn pass_on(&self, reports: Vec<Report>) {
+    /// Forwards reports of other instances to the traffic thread.
+    pub(super) fn forward_reports(&self, reports: Vec<Report>) {
         if reports.is_empty() {
             return;
         }
-        self.keep_reports(&reports, false);
-        // A traffic thread that has ended decides nothing any more.
-        let _gone = self.told.send(reports).is_err();
+        self.schedule_suspect_writes(&reports, false);
+        // If the traffic thread has ended the reports are not needed.
+        let _is_disconnected = self.reports_to_traffic.send(reports).is_err();
     }
 }
--- a/crates/router/src/control/duties.rs
+++ b/crates/router/src/control/roles.rs
@@ -1,4 +1,4 @@
-//! What this instance does for others, by who there is: the same is worked out everywhere.
+//! Roles of this instance, which every instance derives from the same member table.
 
 use std::collections::HashMap;
 
@@ -11,16 +11,18 @@
 use super::Control;
 use crate::view::Peer;
 
-/// Instances that are assumed until the store's entries were read: more than most deployments
-/// have in a few zones.
-const ASSUMED_INSTANCES: u64 = 16;
-/// Age of the process from which gossip has joined the fleet, in milliseconds: 200 instances
-/// that all start at once know each other after some seconds.
-const SETTLED_AFTER_MS: u64 = 10_000;
+/// Fleet size assumed until the store's entries are read.
+///
+/// It exceeds most deployments in a few zones.
+const DEFAULT_INSTANCES: u64 = 16;
+/// Process age from which the member table counts as complete, in milliseconds.
+///
+/// When 200 instances all start at once they know each other after some seconds.
+const GOSSIP_SETTLED_AGE_MS: u64 = 10_000;
 
 impl Control {
-    /// Whether this instance has one of the duties that follow from who there is.
-    fn has_duty(&self, is_chosen: fn(Candidate, &[Candidate]) -> bool) -> bool {
+    /// True if `is_chosen` selects this instance among the live members.
+    fn has_role(&self, is_chosen: fn(Candidate, &[Candidate]) -> bool) -> bool {
         let membership = self.membership.borrow();
         let candidate = |m: &Member| Candidate {
             key: m.key(),
@@ -32,41 +34,41 @@
         is_chosen(candidate(membership.own()), &others)
     }
 
-    /// Whether this instance watches the store.
+    /// True if this instance watches the store.
     pub(super) fn is_watcher(&self) -> bool {
-        self.has_duty(watchers::is_watcher)
+        self.has_role(watchers::is_watcher)
     }
 
-    /// Whether it finds out, with a few others, when an outage of the store is over.
-    pub(super) fn is_finder(&self) -> bool {
-        self.has_duty(watchers::is_finder)
+    /// True if this instance is one of the few that probe for the end of a store outage.
+    pub(super) fn is_outage_prober(&self) -> bool {
+        self.has_role(watchers::is_finder)
     }
 
-    /// Whether it fetches changes for its zone.
+    /// True if this instance fetches changes from other zones for its own.
     pub(super) fn is_fetcher(&self) -> bool {
-        self.has_duty(watchers::is_fetcher)
+        self.has_role(watchers::is_fetcher)
     }
 
-    /// Whether it has an entry in the store, by which those that start find the others.
+    /// True if this instance keeps an entry in the store, by which starting instances find others.
     pub(super) fn is_contact(&self) -> bool {
-        self.has_duty(contacts::is_contact)
+        self.has_role(contacts::is_contact)
     }
 
-    /// Instances that share connections and repeats, this one included.
+    /// Returns the number of instances that share connections and retries, this one included.
     ///
-    /// After a restart of all, each at first knows only itself and would take the whole
-    /// slack for its own: together they would send many times what is allowed, in the very
-    /// seconds in which most sends fail. Until gossip has joined them, as many are assumed as
-    /// the store's entries say, or some before these were read.
+    /// After a restart of the whole fleet each instance at first knows only itself. If each used
+    /// the whole retry slack, together they would send many times the limit, just when most sends
+    /// fail. Until gossip has connected them, the number in the store's entries is used, or a
+    /// default before these are read.
     pub(super) fn instances(&self) -> u64 {
         let known = u64::try_from(self.membership.borrow().alive_count()).unwrap_or(u64::MAX);
-        if self.shared.now_ms() >= SETTLED_AFTER_MS {
+        if self.shared.now_ms() >= GOSSIP_SETTLED_AGE_MS {
             return known;
         }
-        known.max(self.listed_fleet.get().unwrap_or(ASSUMED_INSTANCES))
+        known.max(self.listed_fleet_size.get().unwrap_or(DEFAULT_INSTANCES))
     }
 
-    /// Instances of a zone that gather for the others.
+    /// Returns the keys of the instances that gather for others in a zone.
     fn gatherers(&self, zone: &str) -> Vec<u64> {
         let membership = self.membership.borrow();
         let own = std::iter::once(membership.own());
@@ -82,7 +84,7 @@
         self.gatherers(&self.identity.zone).contains(&own)
     }
 
-    /// The other instances that serve.
+    /// Returns the other instances that are serving.
     pub(super) fn peers(&self) -> Vec<Peer> {
         let membership = self.membership.borrow();
         let serving: Vec<&Member> = membership.alive().filter(|m| is_serving(m)).collect();
--- a/crates/router/src/control/views.rs
+++ b/crates/router/src/control/views.rs
@@ -1,4 +1,4 @@
-//! What the traffic thread works from: replicas that take new work, instances, what binds sends.
+//! Builds the views for the traffic thread: replicas, instances and limits on sends.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -12,24 +12,24 @@
 use crate::view::{Peer, Replicas, View};
 
 impl Control {
-    /// Lists the replicas that take new work anew.
+    /// Rebuilds the list of replicas that accept new requests.
     ///
-    /// Only where entries have changed: members change more often, and a view of 400 replicas
-    /// takes most of its time for them.
-    pub(super) fn list_replicas(&self) {
+    /// Called only when entries change: members change more often, and a view of 400 replicas takes
+    /// most of its time for this list.
+    pub(super) fn rebuild_replicas(&self) {
         let mut replicas = Replicas::new();
         let evacuations = self.evacuations.borrow();
-        let takes_work =
+        let accepts_requests =
             |e: &&Arc<ReplicaEntry>| !e.is_draining && !evacuations.is_evacuated(&e.zone);
-        for entry in self.directory.borrow().entries().filter(takes_work) {
+        for entry in self.directory.borrow().entries().filter(accepts_requests) {
             replicas.entry(Arc::clone(&entry.service)).or_default().push(Arc::clone(entry));
         }
-        *self.cold_until_ms.borrow_mut() = Arc::new(self.list_cold(&replicas));
+        *self.cold_until_ms.borrow_mut() = Arc::new(self.cold_replicas(&replicas));
         *self.replicas.borrow_mut() = Arc::new(replicas);
     }
 
-    /// Replicas that are cold, or may be, with until when; of services that bound what those get.
-    fn list_cold(&self, replicas: &Replicas) -> HashMap<Arc<str>, u64> {
+    /// Returns until when replicas are cold, or presumed so, for services that limit cold replicas.
+    fn cold_replicas(&self, replicas: &Replicas) -> HashMap<Arc<str>, u64> {
         let now_ms = self.shared.now_ms();
         let (configuration, directory) = (self.configuration.borrow(), self.directory.borrow());
         let evacuations = self.evacuations.borrow();
@@ -39,9 +39,9 @@
             let limits = configuration.services.get(service);
             let Some(limits) = limits.filter(|l| l.cold_rate_milli > 0) else { continue };
             for replica in all {
-                let told_ms = directory.cold_until_ms(replica);
+                let reported_ms = directory.cold_until_ms(replica);
                 let presumed_ms = evacuations.cold_until_ms(&replica.zone, limits.warm_up_ms);
-                let until_ms = told_ms.max(presumed_ms.unwrap_or(0));
+                let until_ms = reported_ms.max(presumed_ms.unwrap_or(0));
                 if until_ms > now_ms {
                     cold.insert(Arc::clone(&replica.id), until_ms);
                 }
@@ -50,8 +50,8 @@
         cold
     }
 
-    /// Notes who of each zone gathers, this instance included.
-    fn note_gatherers(&self, peers: &[Peer], is_gatherer: bool) -> Arc<Settled> {
+    /// Updates the set of gathering instances of each zone, this instance included.
+    fn update_gatherers(&self, peers: &[Peer], is_gatherer: bool) -> Arc<Settled> {
         let mut keys: BTreeMap<Arc<str>, Vec<u64>> = BTreeMap::new();
         for peer in peers.iter().filter(|p| p.is_gatherer) {
             keys.entry(Arc::clone(&peer.zone)).or_default().push(peer.candidate().key);
@@ -60,34 +60,34 @@
             let own = self.membership.borrow().own().key();
             keys.entry(self.identity.zone.as_str().into()).or_default().push(own);
         }
-        let mut settled = self.settled.borrow_mut();
-        settled.note(keys, self.shared.now_ms());
-        Arc::new(settled.clone())
+        let mut gatherer_stability = self.gatherer_stability.borrow_mut();
+        gatherer_stability.note(keys, self.shared.now_ms());
+        Arc::new(gatherer_stability.clone())
     }
 
     pub(super) fn publish(&self) {
-        self.has_member_news.set(false);
+        self.has_member_changes.set(false);
         let peers = self.peers();
-        let far = peers.iter().filter(|p| *p.zone != *self.identity.zone).map(|p| p.addr);
-        *self.far_addrs.borrow_mut() = far.collect();
+        let remote_addrs = peers.iter().filter(|p| *p.zone != *self.identity.zone).map(|p| p.addr);
+        *self.remote_zone_addrs.borrow_mut() = remote_addrs.collect();
         let mirrors = self.mirrors.borrow();
         let is_listed = |kind| mirrors.get(&kind).is_some_and(Mirror::is_filled);
-        // One that starts must not send to a zone that was evacuated before.
-        // A restored store may have an older version than the others have in force.
+        // A starting instance must not send to a zone that was evacuated before. A restored store
+        // may also have an older configuration than the one in force at the other instances.
         let has_replicas = self.is_confirmed.get()
             && is_listed(Kind::Replicas)
             && (!self.identity.has_evacuations || is_listed(Kind::Evacuations));
         let is_gatherer = self.is_gatherer();
-        let settled = self.note_gatherers(&peers, is_gatherer);
+        let gatherer_stability = self.update_gatherers(&peers, is_gatherer);
         let view = View {
             configuration: self.configuration.borrow().clone(),
             table: Arc::clone(&self.table.borrow()),
             replicas: Arc::clone(&self.replicas.borrow()),
             has_replicas,
             instances: self.instances(),
-            fleet: self.instances().max(self.listed_fleet.get().unwrap_or(0)),
+            fleet: self.instances().max(self.listed_fleet_size.get().unwrap_or(0)),
             is_gatherer,
-            settled,
+            settled: gatherer_stability,
             cold_until_ms: Arc::clone(&self.cold_until_ms.borrow()),
             capacity_milli: self.identity.capacity_milli,
             peers: Arc::new(peers),
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -1,4 +1,4 @@
-//! The immutable view of control state that the traffic thread works from.
+//! The immutable view of the control state that the traffic thread works with.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -16,23 +16,23 @@
 use eelgrasspier_decide::route::{Configuration, RouteTable};
 use tokio::sync::Notify;
 
-/// Another instance that gathers parts for others.
+/// Another instance that is serving.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the instance.
     pub name: Arc<str>,
-    /// Where it takes connections of other instances.
+    /// Address at which it accepts connections of other instances.
     pub addr: SocketAddr,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// Whether it holds connections to its zone's replicas and gathers for others.
+    /// True if it holds connections to its zone's replicas and gathers for other instances.
     pub is_gatherer: bool,
-    /// Its processor time, in thousandths of a core.
+    /// Its CPU capacity, in thousandths of a core.
     pub capacity_milli: u32,
 }
 
 impl Peer {
-    /// It, as one that gathers.
+    /// Returns the instance as a candidate for gathering.
     #[must_use]
     pub fn candidate(&self) -> Candidate {
         let key = rendezvous::hash(&self.name);
@@ -40,63 +40,66 @@
     }
 }
 
-/// Replicas that take new work, by service.
+/// Replicas that accept new requests, by service.
 pub type Replicas = HashMap<Arc<str>, Vec<Arc<ReplicaEntry>>>;
 
-/// One state of control, published as a whole.
+/// A consistent snapshot of the control state.
 #[derive(Debug, Clone, Default)]
 pub struct View {
-    /// The configuration in force; `None` before there is one.
+    /// The configuration in force; `None` before the first one.
     pub configuration: Option<Arc<Configuration>>,
-    /// Its routes.
+    /// The routes of the configuration.
     pub table: Arc<RouteTable>,
-    /// Replicas that take new work, by service.
+    /// Replicas that accept new requests, by service.
     pub replicas: Arc<Replicas>,
-    /// Whether the lists of replicas, and of zones that are evacuated, were ever read.
+    /// True once the replicas, and the evacuations if used, have been read and confirmed.
     pub has_replicas: bool,
-    /// Instances that share connections and repeats, this one included.
+    /// Number of instances that share connections and retries, this one included.
     pub instances: u64,
-    /// Instances of the fleet as far as the store's entries or others say, this one included.
+    /// Fleet size by the store's entries or the member table, whichever is larger.
     pub fleet: u64,
-    /// Whether this instance holds connections to its zone's replicas.
+    /// True if this instance holds connections to its zone's replicas.
     pub is_gatherer: bool,
-    /// The processor time of this instance, in thousandths of a core.
+    /// CPU capacity of this instance, in thousandths of a core.
     pub capacity_milli: u32,
-    /// The other live instances.
+    /// The other serving instances.
     pub peers: Arc<Vec<Peer>>,
-    /// This instance's part of the connections to the replicas of each zone.
-    pub parts: Vec<(Arc<str>, Part)>,
+    /// This instance's share of the connections to the replicas of each zone.
+    pub connection_shares: Vec<(Arc<str>, Part)>,
     /// The other instances that gather.
     pub gatherers: Vec<Peer>,
-    /// Zones in which some gather for others, who don't themselves.
-    pub sliced_zones: HashSet<Arc<str>>,
-    /// Number of instances by which the slack for repeats is divided for this one.
+    /// Zones in which only some instances gather, for the others too.
+    pub delegating_zones: HashSet<Arc<str>>,
+    /// Number of instances among which the retry slack is divided.
     pub slack_sharers: u64,
-    /// Until when replicas are cold, in milliseconds, where what they get is bounded.
+    /// Time until which each rate-limited replica is cold, in milliseconds.
     pub cold_until_ms: Arc<HashMap<Arc<str>, u64>>,
-    /// Since when those of each zone who may keep count of its cold replicas are the same.
+    /// Time since which the gathering instances of each zone are unchanged.
+    ///
+    /// They count the sends to the cold replicas of the zone.
     pub settled: Arc<Settled>,
 }
 
 impl View {
-    /// Whether some instances of the zone gather for others, who don't themselves.
+    /// True if only some instances of the zone gather, for the others too.
     #[must_use]
     pub fn is_sliced(&self, zone: &str) -> bool {
-        self.sliced_zones.contains(zone)
+        self.delegating_zones.contains(zone)
     }
 
-    /// Works out what each send goes by, for an instance in `own_zone`.
+    /// Computes the derived fields for an instance in `own_zone`.
     ///
-    /// Once for each view: parts of connections took a twentieth of the traffic thread's
-    /// instructions at 40 shards when they were worked out for each send, and what counts all
-    /// instances for each shard grows with the fleet times the shards.
+    /// Done once for each view. When connection shares were computed for each send, they took a
+    /// twentieth of the traffic thread's instructions at 40 shards. Counting all instances for each
+    /// shard would grow with the product of fleet size and shards.
     #[must_use]
     pub fn share_out(mut self, own_zone: &str) -> Self {
         self.gatherers = self.peers.iter().filter(|p| p.is_gatherer).cloned().collect();
-        let idle = self.peers.iter().filter(|p| !p.is_gatherer).map(|p| Arc::clone(&p.zone));
-        self.sliced_zones = idle.collect();
+        let non_gathering_zones =
+            self.peers.iter().filter(|p| !p.is_gatherer).map(|p| Arc::clone(&p.zone));
+        self.delegating_zones = non_gathering_zones.collect();
         if !self.is_gatherer {
-            self.sliced_zones.insert(own_zone.into());
+            self.delegating_zones.insert(own_zone.into());
         }
         let gatherers = u64::try_from(self.gatherers.len()).unwrap_or(u64::MAX);
         self.slack_sharers =
@@ -104,72 +107,73 @@
         let mut zones: Vec<&Arc<str>> = self.replicas.values().flatten().map(|r| &r.zone).collect();
         zones.sort_unstable();
         zones.dedup();
-        let part = |zone: &Arc<str>| (Arc::clone(zone), self.place(zone, own_zone).into());
-        self.parts = zones.into_iter().map(part).collect();
+        let part =
+            |zone: &Arc<str>| (Arc::clone(zone), self.connection_place(zone, own_zone).into());
+        self.connection_shares = zones.into_iter().map(part).collect();
         self
     }
 
-    fn place(&self, zone: &str, own_zone: &str) -> Place {
-        let number = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-        let near_peers = number(self.gatherers.iter().filter(|p| &*p.zone == zone).count());
-        let known = number(self.peers.len()) + 1;
+    fn connection_place(&self, zone: &str, own_zone: &str) -> Place {
+        let to_u32 = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
+        let near_peers = to_u32(self.gatherers.iter().filter(|p| &*p.zone == zone).count());
+        let known = to_u32(self.peers.len()) + 1;
         Place {
             is_near: zone == own_zone && self.is_gatherer,
             is_sliced: self.is_sliced(zone),
             near_peers,
-            far_peers: number(self.gatherers.len()) - near_peers,
+            far_peers: to_u32(self.gatherers.len()) - near_peers,
             unknown: u32::try_from(self.instances).unwrap_or(u32::MAX).saturating_sub(known),
         }
     }
 
-    /// Connections that this instance may open to a replica in `zone` that accepts `all`.
+    /// Returns this instance's share of the `all` connections that a replica in `zone` accepts.
     #[must_use]
     pub fn most_connections(&self, zone: &str, all: u32) -> u32 {
-        let part = self.parts.iter().find(|(known, _)| **known == *zone);
+        let part = self.connection_shares.iter().find(|(name, _)| **name == *zone);
         part.map_or(LEAST_CONNECTIONS, |(_, part)| part.of(all))
     }
 
-    /// Whether connections to replicas are kept open after an answer.
+    /// True if connections to replicas stay open after an answer.
     ///
-    /// Where some gather for others, these send a replica little, such as requests to one replica
-    /// of a service: one in ten seconds each. Kept, their idle connections were more than it
-    /// accepts: 195 of 120, so that it reset 1,195 in the seconds after a loss of power, when those
-    /// of the dead still counted.
+    /// Instances that don't gather send few requests directly, such as those of routes to a single
+    /// replica: each sends one in 10 s. When they kept these connections, the idle ones exceeded a
+    /// replica's limit: 195 where it accepts 120. The replica reset 1,195 connections in the seconds
+    /// after a power loss, when connections of the lost instances still counted.
     #[must_use]
     pub fn keeps_connections(&self) -> bool {
         self.is_gatherer
     }
 
-    /// Connections that each replica of a service accepts, from everybody.
+    /// Returns the connections that each replica of a service accepts from all instances together.
     #[must_use]
     pub fn accepted_connections(&self, service: &str) -> u32 {
         let limits = self.configuration.as_ref().and_then(|c| c.services.get(service));
         limits.map_or(LEAST_CONNECTIONS, |l| l.max_connections)
     }
 
-    /// Whether a replica takes new work.
+    /// True if a replica accepts new requests.
     #[must_use]
     pub fn lists(&self, replica: &ReplicaEntry) -> bool {
         let listed = self.replicas.get(&replica.service);
         listed.is_some_and(|all| all.iter().any(|r| r.id == replica.id))
     }
 
-    /// Whether callers can be served.
+    /// True if callers can be served.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.configuration.is_some() && self.has_replicas
     }
 }
 
-/// What the threads of one process share.
+/// State shared by the threads of one process.
 #[derive(Debug)]
 pub struct Shared {
     /// The latest view.
     pub view: ArcSwap<View>,
-    /// Rings when a new view was published.
-    pub(crate) has_changed: Notify,
-    /// When another instance was last heard of, in milliseconds; 0 for never.
-    heard_ms: AtomicU64,
+    /// Signalled when a new view is published.
+    pub(crate) view_changed: Notify,
+    /// Time of the last message from another instance, in milliseconds; 0 for never.
+    last_contact_ms: AtomicU64,
     started: Instant,
 }
 
@@ -180,36 +184,36 @@
 }
 
 impl Shared {
-    /// No view yet.
+    /// Creates the state with an empty view.
     #[must_use]
     pub fn new() -> Self {
         Self {
             view: ArcSwap::default(),
-            has_changed: Notify::new(),
-            heard_ms: AtomicU64::new(0),
+            view_changed: Notify::new(),
+            last_contact_ms: AtomicU64::new(0),
             started: Instant::now(),
         }
     }
 
-    /// Notes that another instance was heard of.
-    pub(crate) fn note_heard(&self) {
-        self.heard_ms.store(self.now_ms(), Ordering::Relaxed);
+    /// Records that a message from another instance has arrived.
+    pub(crate) fn record_peer_contact(&self) {
+        self.last_contact_ms.store(self.now_ms(), Ordering::Relaxed);
     }
 
-    /// When another instance was last heard of, in milliseconds, if ever.
+    /// Returns the time of the last message from another instance, in milliseconds, if any.
     pub(crate) fn heard_ms(&self) -> Option<u64> {
-        Some(self.heard_ms.load(Ordering::Relaxed)).filter(|&heard_ms| heard_ms > 0)
+        Some(self.last_contact_ms.load(Ordering::Relaxed)).filter(|&contact_ms| contact_ms > 0)
     }
 
-    /// Milliseconds since this process started.
+    /// Returns the milliseconds since this process started.
     #[must_use]
     pub fn now_ms(&self) -> u64 {
         u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Puts a view in force.
+    /// Replaces the current view and signals the change.
     pub fn publish(&self, view: View) {
         self.view.store(Arc::new(view));
-        self.has_changed.notify_one();
+        self.view_changed.notify_one();
     }
 }
