--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the router's threads, serves until a stop, and stops gracefully.
+//! Starts the router's threads, serves until a stop signal and shuts down gracefully.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,21 +22,21 @@
 
 use crate::backend::Backend;
 use crate::control::{Ask, Control, Identity};
-use crate::peers::Peers;
-use crate::reload::{InForce, SettingsFile};
+use crate::peers::PeerRequestHandler;
+use crate::reload::{ActiveSettings, SettingsFile};
 use crate::router::Router;
 use crate::setup::Setup;
 use crate::view::Shared;
 
 /// Time after the start of a stop for which idle connections stay open.
 ///
-/// The balancer asks once a second and takes an instance out after two misses; a request
-/// of a caller that has not noticed yet is still served in this time.
-const LEAVING: Duration = Duration::from_millis(3200);
-/// Kept of the grace period for ending before the kill.
+/// The load balancer probes once a second and removes an instance after two failures. Requests of
+/// callers that have not noticed yet are still served in this time.
+const DRAIN_TIME: Duration = Duration::from_millis(3200);
+/// Part of the grace period reserved for ending before the kill.
 const GRACE_MARGIN: Duration = Duration::from_millis(500);
-/// Latencies that are measured; docs/METRICS.md lists them with the other metrics.
-const LATENCIES: &[Latency] = &[
+/// Latency histograms; docs/METRICS.md lists them with the other metrics.
+const LATENCY_METRICS: &[Latency] = &[
     Latency {
         name: "eelgrasspier_request_seconds",
         help: "Time from a request's arrival to its answer.",
@@ -54,17 +54,17 @@
     },
 ];
 
-/// What speaks to callers, backend servers and the store.
+/// Adapters to callers, backend servers and the store.
 pub struct Adapters {
-    /// Makes the store's client, on the control thread.
+    /// Creates the store client, on the control thread.
     pub store: Box<dyn FnOnce() -> Rc<dyn Collections> + Send>,
-    /// Reads the contents of the store's objects.
+    /// Decodes the contents of the store's objects.
     pub decode: Arc<dyn Decode>,
     /// Sends requests to replicas.
     pub backend: Rc<dyn Backend>,
-    /// Reads callers' requests and writes their answers.
+    /// Creates the handler that parses callers' requests and writes their answers.
     pub front: fn(Rc<Router>) -> Rc<dyn Handler>,
-    /// The settings file, which may change.
+    /// The settings file, which is reloaded on change.
     pub settings: Box<dyn SettingsFile>,
 }
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// The router could not start.
+/// An error that prevents the router from starting.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum RunError {
     /// address {0} can't be bound: {1}
@@ -88,9 +88,9 @@
 /// Serves callers until a signal to stop.
 ///
 /// # Errors
-/// Fails if an address can't be bound.
+/// Fails if an address can't be bound, or if metrics or signal handlers can't be set up.
 pub fn run(setup: &Setup, adapters: Adapters) -> Result<(), RunError> {
-    let metrics = Page::install(LATENCIES).map_err(RunError::Metrics)?;
+    let metrics = Page::install(LATENCY_METRICS).map_err(RunError::Metrics)?;
     actix_rt::System::new().block_on(serve_all(setup, adapters, metrics))
 }
 
@@ -107,7 +107,7 @@
     );
 
     let peer = bind(setup.peer_addr).await?;
-    let (control, asks) = mpsc::unbounded_channel();
+    let (control, requests) = mpsc::unbounded_channel();
     let arbiter = actix_rt::Arbiter::new();
     let control_shared = Arc::clone(&shared);
     let identity = Identity {
@@ -120,17 +120,26 @@
         has_evacuations: setup.has_evacuations,
         heartbeat: setup.heartbeat,
     };
-    let (tell, told) = mpsc::unbounded_channel();
-    let (started, has_started) = oneshot::channel();
+    let (reports_to_traffic, reports) = mpsc::unbounded_channel();
+    let (started, start_result) = oneshot::channel();
     arbiter.spawn_fn(move || {
         actix_rt::spawn(async move {
-            let started_with = (store(), decode);
-            let result = Control::start(control_shared, identity, started_with, asks, tell).await;
-            // The other side waits for exactly this.
-            let _gone = started.send(result).is_err();
+            let store_and_decoder = (store(), decode);
+            let result = Control::start(
+                control_shared,
+                identity,
+                store_and_decoder,
+                requests,
+                reports_to_traffic,
+            )
+            .await;
+            // The receiver waits for this result, so sending can't fail.
+            let _is_disconnected = started.send(result).is_err();
         });
     });
-    let started = has_started.await.unwrap_or_else(|_| Err(io::Error::other("control ended")));
+    let started = start_result
+        .await
+        .unwrap_or_else(|_| Err(io::Error::other("control thread ended during start")));
     started.map_err(|e| RunError::Bind(setup.peer_addr, e))?;
     let router = Router::new(
         Arc::clone(&shared),
@@ -143,42 +152,43 @@
     router.set_regions(setup.regions.clone());
     actix_rt::spawn(Rc::clone(&router).follow_views());
     actix_rt::spawn(Rc::clone(&router).tell_findings(control.clone()));
-    actix_rt::spawn(Rc::clone(&router).hear_findings(told));
-    let peers = Rc::new(Peers::new(Rc::clone(&router), control.clone()));
-    actix_rt::spawn(eelgrasspier_peer::serve(peer, peers));
-
-    let (phase, phases) = watch::channel(StopPhase::Serving);
-    // Readiness and metrics are served to the very end.
-    let (_open, always) = watch::channel(StopPhase::Serving);
-    let readiness = Rc::new(Readiness { shared: Arc::clone(&shared), phase: phases.clone() });
-    actix_rt::spawn(serve(ready, readiness, always.clone()));
+    actix_rt::spawn(Rc::clone(&router).hear_findings(reports));
+    let peer_handler = Rc::new(PeerRequestHandler::new(Rc::clone(&router), control.clone()));
+    actix_rt::spawn(eelgrasspier_peer::serve(peer, peer_handler));
+
+    let (phase, phase_changes) = watch::channel(StopPhase::Serving);
+    // Readiness and metrics are served until the process ends.
+    let (_keep_open, until_exit) = watch::channel(StopPhase::Serving);
+    let readiness =
+        Rc::new(ReadinessProbe { shared: Arc::clone(&shared), phase: phase_changes.clone() });
+    actix_rt::spawn(serve(ready, readiness, until_exit.clone()));
     if let Some(addr) = setup.metrics_addr {
         match bind(addr).await {
             Ok(listener) => {
                 let page = Rc::new(MetricsPage(metrics));
-                actix_rt::spawn(serve(listener, page, always));
+                actix_rt::spawn(serve(listener, page, until_exit));
             }
-            // Callers are worth more than figures.
+            // Serving callers matters more than metrics.
             Err(error) => log::error!("event=metrics_not_served cause=\"{error}\""),
         }
     }
-    let settings = InForce::new(settings, setup.clone(), Rc::clone(&router));
+    let settings = ActiveSettings::new(settings, setup.clone(), Rc::clone(&router));
     let grace = settings.grace();
-    let hangups = signal(SignalKind::hangup()).map_err(RunError::Signals)?;
-    actix_rt::spawn(settings.follow(hangups));
-    let stop = wait_for_stop()?;
-    let serving = actix_rt::spawn(serve(front, make_front(router), phases));
+    let hangup_signals = signal(SignalKind::hangup()).map_err(RunError::Signals)?;
+    actix_rt::spawn(settings.follow(hangup_signals));
+    let stop = stop_signal()?;
+    let serving = actix_rt::spawn(serve(front, make_front(router), phase_changes));
     stop.await;
     let grace = grace.get().saturating_sub(GRACE_MARGIN);
     log::info!("event=stopping grace_ms={}", grace.as_millis());
-    let began = tokio::time::Instant::now();
+    let stop_started = tokio::time::Instant::now();
     phase.send_replace(StopPhase::Leaving);
-    // A control thread that has ended has nobody left to tell.
-    let _gone = control.send(Ask::Stop).is_err();
-    tokio::time::sleep(LEAVING.min(grace / 2)).await;
+    // If the control thread has ended, there is nobody to notify.
+    let _is_disconnected = control.send(Ask::Stop).is_err();
+    tokio::time::sleep(DRAIN_TIME.min(grace / 2)).await;
     phase.send_replace(StopPhase::Closing);
-    let ended = tokio::time::timeout_at(began + grace, serving).await;
-    log::info!("event=stopped cut_short={}", ended.is_err());
+    let drained = tokio::time::timeout_at(stop_started + grace, serving).await;
+    log::info!("event=stopped cut_short={}", drained.is_err());
     arbiter.stop();
     Ok(())
 }
@@ -187,7 +197,7 @@
     TcpListener::bind(addr).await.map_err(|e| RunError::Bind(addr, e))
 }
 
-fn wait_for_stop() -> Result<impl Future<Output = ()>, RunError> {
+fn stop_signal() -> Result<impl Future<Output = ()>, RunError> {
     let mut term = signal(SignalKind::terminate()).map_err(RunError::Signals)?;
     let mut int = signal(SignalKind::interrupt()).map_err(RunError::Signals)?;
     Ok(async move {
@@ -198,13 +208,13 @@
     })
 }
 
-/// Tells the balancer whether callers can be sent here.
-struct Readiness {
+/// Answers the load balancer's readiness probe.
+struct ReadinessProbe {
     shared: Arc<Shared>,
     phase: watch::Receiver<StopPhase>,
 }
 
-impl Handler for Readiness {
+impl Handler for ReadinessProbe {
     fn answer(&self, _request: Request<Incoming>) -> Answering {
         let is_serving = *self.phase.borrow() == StopPhase::Serving;
         let is_ready = is_serving && self.shared.view.load().is_ready();
@@ -217,7 +227,7 @@
     }
 }
 
-/// The metrics as text.
+/// Serves the metrics page.
 struct MetricsPage(Page);
 
 impl Handler for MetricsPage {
@@ -239,6 +249,6 @@
 fn page(status: StatusCode, body: Bytes) -> Answering {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
-    let answering: Pin<Box<dyn Future<Output = _>>> = Box::pin(std::future::ready(response));
-    answering
+    let response_future: Pin<Box<dyn Future<Output = _>>> = Box::pin(std::future::ready(response));
+    response_future
 }
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -1,11 +1,11 @@
-//! The catalogue of the router's log lines; docs/ROUTER-EVENTS.md lists the same.
+//! The catalogue of the router's log events; docs/ROUTER-EVENTS.md lists the same.
 
-/// One kind of line.
+/// One kind of log event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Event {
-    /// Its number, which never changes its meaning.
+    /// Its number, whose meaning never changes.
     pub number: u16,
-    /// Its name in the line's field `event`.
+    /// Its name in the field `event` of the line.
     pub name: &'static str,
 }
 
@@ -13,7 +13,7 @@
     Event { number, name }
 }
 
-/// All kinds, by number.
+/// All events, by number.
 pub const CATALOGUE: &[Event] = &[
     event(701, "started"),
     event(702, "ready"),
@@ -91,7 +91,7 @@
     event(784, "requests_kept_again"),
 ];
 
-/// The number of the event that a line names, if it names one of the catalogue.
+/// Returns the number of the event that a line names, if the catalogue has it.
 #[must_use]
 pub fn number_of(line: &str) -> Option<u16> {
     let name = line.strip_prefix("event=")?.split(' ').next()?;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,8 +1,8 @@
 //! Serves callers' requests by the routes of the operators' configuration.
 //!
-//! One control thread follows the store and the other instances and publishes immutable
-//! views; the traffic thread routes by the latest one. A request goes to one replica or
-//! to one of each shard; both are the same gathering, with one shard or many.
+//! One control thread follows the store and the other instances and publishes immutable views; the
+//! traffic thread routes by the latest one. A request goes to one replica, or to one replica of
+//! each shard. Both use the same scatter-gather code, with one shard or many.
 
 mod backend;
 mod cold;
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -1,4 +1,4 @@
-//! Answers the questions of other instances.
+//! Answers requests of other instances.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -15,49 +15,53 @@
 use crate::control::Ask;
 use crate::router::Router;
 
-/// What answers the questions of other instances.
-pub(crate) struct Peers {
+/// Handler of requests from other instances.
+pub(crate) struct PeerRequestHandler {
     pub(crate) router: Rc<Router>,
     pub(crate) control: mpsc::UnboundedSender<Ask>,
-    /// The last long answer of each kind.
-    packed: RefCell<HashMap<Kind, Packed>>,
+    /// The last packed answer of each kind.
+    packed_answers: RefCell<HashMap<Kind, CachedAnswer>>,
 }
 
-/// An answer that others of the zone are about to ask for too: twenty instances pull the same
-/// changes within a second, and each would have them packed anew on the traffic thread.
+/// A cached answer: others of the zone are about to request the same.
+///
+/// Twenty instances fetch the same changes within a second. Packing the answer again for each would
+/// take time on the traffic thread.
 #[derive(Clone, PartialEq)]
-struct Packed {
-    /// Place from which the asker wanted to go on.
-    asked: Position,
-    /// Place up to which the answer is complete.
+struct CachedAnswer {
+    /// Position after which changes were requested.
+    requested_after: Position,
+    /// Position up to which the answer is complete.
     as_of: Position,
-    /// Length of the answer before it was packed, in bytes: after a restore of the store what is
-    /// told changes without a change of the store.
+    /// Length of the answer before packing, in bytes.
+    ///
+    /// It detects a changed answer at the same position: after a restore the known changes may
+    /// differ though the store has not changed.
     length_bytes: usize,
     answer: Body,
 }
 
-impl Peers {
+impl PeerRequestHandler {
     pub(crate) fn new(router: Rc<Router>, control: mpsc::UnboundedSender<Ask>) -> Self {
-        Self { router, control, packed: RefCell::default() }
+        Self { router, control, packed_answers: RefCell::default() }
     }
 
-    async fn changes(&self, kind: Kind, above: Position) -> Body {
-        let (done, changes) = oneshot::channel();
-        let ask = Ask::Changes { kind, above, done };
-        if self.control.send(ask).is_err() {
+    async fn changes(&self, kind: Kind, after: Position) -> Body {
+        let (reply, changes) = oneshot::channel();
+        let request = Ask::Changes { kind, after, reply };
+        if self.control.send(request).is_err() {
             return Body::Refused("control has ended".to_owned());
         }
         match changes.await {
-            Ok(changes) => self.pack(kind, above, changes),
+            Ok(changes) => self.pack_cached(kind, after, changes),
             Err(_) => Body::Refused("control has ended".to_owned()),
         }
     }
 
-    /// Records of all instances that this one knows.
+    /// Returns the records of all members that this instance knows.
     async fn members(&self) -> Body {
-        let (done, members) = oneshot::channel();
-        if self.control.send(Ask::Members { done }).is_err() {
+        let (reply, members) = oneshot::channel();
+        if self.control.send(Ask::Members { reply }).is_err() {
             return Body::Refused("control has ended".to_owned());
         }
         match members.await {
@@ -66,26 +70,30 @@
         }
     }
 
-    fn pack(&self, kind: Kind, asked: Position, changes: Changes) -> Body {
+    fn pack_cached(&self, kind: Kind, requested_after: Position, changes: Changes) -> Body {
         let (as_of, length_bytes) = (changes.position(), changes.encoded_len());
-        let mut known = self.packed.borrow_mut();
-        let is_same =
-            |p: &&Packed| (p.asked, p.as_of, p.length_bytes) == (asked, as_of, length_bytes);
-        if let Some(last) = known.get(&kind).filter(is_same) {
+        let mut cache = self.packed_answers.borrow_mut();
+        let is_same = |p: &&CachedAnswer| {
+            (p.requested_after, p.as_of, p.length_bytes) == (requested_after, as_of, length_bytes)
+        };
+        if let Some(last) = cache.get(&kind).filter(is_same) {
             return last.answer.clone();
         }
         let answer = packed::pack(changes);
         if matches!(answer, Body::PackedChanges(_)) {
-            known.insert(kind, Packed { asked, as_of, length_bytes, answer: answer.clone() });
+            cache.insert(
+                kind,
+                CachedAnswer { requested_after, as_of, length_bytes, answer: answer.clone() },
+            );
         }
         answer
     }
 }
 
-impl PeerService for Peers {
-    fn answer(&self, question: Body) -> AnswerFuture<'_> {
+impl PeerService for PeerRequestHandler {
+    fn answer(&self, request: Body) -> AnswerFuture<'_> {
         Box::pin(async move {
-            match question {
+            match request {
                 Body::ChangesAbove(ChangesAbove { is_replicas, revision, era }) => {
                     let kind = if is_replicas { Kind::Replicas } else { Kind::Configuration };
                     self.changes(kind, Position { era, revision }).await
@@ -93,13 +101,11 @@
                 Body::EvacuationsAbove(revision) => {
                     self.changes(Kind::Evacuations, Position { era: 0, revision }).await
                 }
-                Body::EvacuationsAfter(above) => self.changes(Kind::Evacuations, above).await,
+                Body::EvacuationsAfter(after) => self.changes(Kind::Evacuations, after).await,
                 Body::MembersAsk(_) => self.members().await,
-                Body::Gather(question) => {
-                    Body::Gathered(self.router.gather_for_peer(question).await)
-                }
-                Body::ColdSend(question) => {
-                    Body::ColdSendAllowed(self.router.allow_cold_send(&question))
+                Body::Gather(request) => Body::Gathered(self.router.gather_for_peer(request).await),
+                Body::ColdSend(request) => {
+                    Body::ColdSendAllowed(self.router.allow_cold_send(&request))
                 }
                 Body::Alive(nothing) => Body::Alive(nothing),
                 _ => Body::Refused("not a question for a router".to_owned()),
--- a/crates/router/src/reload.rs
+++ b/crates/router/src/reload.rs
@@ -1,8 +1,8 @@
 //! Settings that change while the process runs.
 //!
-//! What others share with this instance follows the file: the repeats that all may add, the
-//! time for a planned stop. Addresses, name and zone stay for the life of a process, since
-//! others know it by them; a change of those is told and waits for the next start.
+//! Retry limits, the cold limits, the regions and the grace period follow the file. Addresses, name
+//! and zone are fixed for the life of a process, since other instances know it by them. A change of
+//! those is logged and takes effect at the next start.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,58 +11,59 @@
 use crate::router::Router;
 use crate::setup::Setup;
 
-/// Time between two looks at the file, which may change without a signal; a look is one call
-/// of the system.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
+/// Interval between checks of the file, which may change without a signal.
+///
+/// A check costs one system call.
+const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The settings file.
 pub trait SettingsFile {
-    /// When it was last changed; `None` if it can't be told.
+    /// Returns the time of the last change; `None` if it is not available.
     fn changed_at(&self) -> Option<SystemTime>;
 
-    /// Reads and checks it; the error names what is wrong.
+    /// Reads and validates the settings.
     ///
     /// # Errors
-    /// Fails with one line that names the field.
+    /// Fails with one line that names the invalid field.
     fn read(&self) -> Result<Setup, String>;
 }
 
 /// The settings in force.
-pub(crate) struct InForce {
+pub(crate) struct ActiveSettings {
     file: Box<dyn SettingsFile>,
     setup: Setup,
     router: Rc<Router>,
     grace: Rc<Cell<Duration>>,
 }
 
-impl InForce {
+impl ActiveSettings {
     pub(crate) fn new(file: Box<dyn SettingsFile>, setup: Setup, router: Rc<Router>) -> Self {
         let grace = Rc::new(Cell::new(setup.grace));
         Self { file, setup, router, grace }
     }
 
-    /// Time from the signal to stop to the kill, as of now.
+    /// Returns the current time between the stop signal and the kill.
     pub(crate) fn grace(&self) -> Rc<Cell<Duration>> {
         Rc::clone(&self.grace)
     }
 
-    /// Takes in each change of the file, at a signal or when a look shows one.
-    pub(crate) async fn follow(mut self, mut hangups: tokio::signal::unix::Signal) {
-        let mut seen = self.file.changed_at();
+    /// Reloads the settings after each signal and each change of the file.
+    pub(crate) async fn follow(mut self, mut hangup_signals: tokio::signal::unix::Signal) {
+        let mut last_changed_at = self.file.changed_at();
         loop {
-            let signalled = tokio::time::timeout(LOOK_EVERY, hangups.recv()).await;
-            let cause = match signalled {
+            let signal = tokio::time::timeout(CHECK_INTERVAL, hangup_signals.recv()).await;
+            let cause = match signal {
                 Ok(Some(())) => "signal",
-                // No more signals can come; the looks go on.
+                // No more signals can arrive; the periodic checks continue.
                 Ok(None) => {
-                    tokio::time::sleep(LOOK_EVERY).await;
+                    tokio::time::sleep(CHECK_INTERVAL).await;
                     "look"
                 }
                 Err(_) => "look",
             };
-            let now = self.file.changed_at();
-            if cause == "signal" || now != seen {
-                seen = now;
+            let changed_at = self.file.changed_at();
+            if cause == "signal" || changed_at != last_changed_at {
+                last_changed_at = changed_at;
                 self.reload(cause);
             }
         }
@@ -76,11 +77,11 @@
                 return;
             }
         };
-        let is_kept = self.is_another_instance(&setup);
+        let needs_restart = self.has_fixed_changes(&setup);
         let limits = setup.repeat_limits;
         log::info!(
             "event=reload cause={cause} repeats_ratio_milli={} repeats_slack={} grace_ms={} \
-             needs_restart={is_kept}",
+             needs_restart={needs_restart}",
             limits.ratio_milli,
             limits.slack,
             setup.grace.as_millis()
@@ -91,10 +92,10 @@
         self.grace.set(setup.grace);
     }
 
-    /// Whether a value differs that stays for the life of a process.
-    fn is_another_instance(&self, new: &Setup) -> bool {
-        let known = &self.setup;
+    /// True if a value differs that is fixed for the life of a process.
+    fn has_fixed_changes(&self, new: &Setup) -> bool {
+        let current = &self.setup;
         let addrs = |s: &Setup| [s.front_addr, s.ready_addr, s.peer_addr];
-        (&known.name, &known.zone, addrs(known)) != (&new.name, &new.zone, addrs(new))
+        (&current.name, &current.zone, addrs(current)) != (&new.name, &new.zone, addrs(new))
     }
 }
--- a/crates/router/src/setup.rs
+++ b/crates/router/src/setup.rs
@@ -1,4 +1,4 @@
-//! One instance's own settings, checked.
+//! The validated settings of one instance.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,37 +7,37 @@
 use eelgrasspier_decide::cold::ColdBounds;
 use eelgrasspier_decide::homes::Regions;
 
-/// One instance's own settings.
+/// The validated settings of one instance.
 #[derive(Debug, Clone)]
 pub struct Setup {
     /// Name of the instance.
     pub name: String,
     /// Its availability zone.
     pub zone: String,
-    /// Where callers connect.
+    /// Address at which callers connect.
     pub front_addr: SocketAddr,
-    /// Where the balancer asks whether callers can be sent here.
+    /// Address of the load balancer's readiness probe.
     pub ready_addr: SocketAddr,
-    /// Where other instances connect.
+    /// Address at which other instances connect.
     pub peer_addr: SocketAddr,
-    /// Where some of the other instances are, or were.
+    /// Addresses of some other instances; they may be stale.
     pub seeds: Vec<SocketAddr>,
-    /// Its processor time, in thousandths of a core.
+    /// Its CPU capacity, in thousandths of a core.
     pub capacity_milli: u32,
-    /// Whether the whole system starts for the first time.
+    /// True if the whole system starts for the first time.
     pub is_first_start: bool,
-    /// Where metrics are served.
+    /// Address at which metrics are served.
     pub metrics_addr: Option<SocketAddr>,
-    /// What all instances together may send twice.
+    /// Limits on retries by all instances together.
     pub repeat_limits: RepeatLimits,
-    /// Time between two reports of a replica to the store.
+    /// Interval between reports of a replica to the store.
     pub heartbeat: Duration,
-    /// Time from the signal to stop to the kill.
+    /// Time from the stop signal to the kill.
     pub grace: Duration,
     /// The region of each availability zone.
     pub regions: Regions,
-    /// Whether operators evacuate availability zones by entries in the store.
+    /// True if operators evacuate availability zones by entries in the store.
     pub has_evacuations: bool,
-    /// What cold replicas may get beyond what they stand.
+    /// What cold replicas may receive beyond their rate.
     pub cold_bounds: ColdBounds,
 }
