--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A router over scripted replicas, in virtual time.
+//! A test router over scripted replicas, mostly in virtual time.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -20,26 +20,26 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What a replica does with the requests that reach it.
+/// The behaviour of a replica for the requests that reach it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Conduct {
     /// It answers after this many milliseconds.
     Answers(u64),
-    /// It answers with a failure of its own after this many milliseconds.
+    /// It answers with its own error after this many milliseconds.
     Fails(u64),
-    /// It says at once that it did not run the request.
+    /// It reports at once that it did not run the request.
     Sheds,
     /// It runs the request, and the answer is lost after this many milliseconds.
     Loses(u64),
     /// It never answers.
     Silent,
-    /// Another replica has its address and says so.
+    /// Another replica has taken over its address and says so.
     Replaced,
-    /// No connection to it is ever set up.
+    /// No connection to it can be established.
     Unreached,
 }
 
-/// One send that reached a replica.
+/// One request that reached a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
     pub replica: String,
@@ -52,16 +52,16 @@
 #[derive(Default)]
 pub struct Script {
     pub conduct: RefCell<HashMap<String, Conduct>>,
-    /// Replicas all of whose connections are in use.
+    /// Replicas without a free connection.
     pub full: RefCell<HashSet<String>>,
     /// Replicas whose process has ended.
     pub ended: RefCell<HashSet<String>>,
-    /// Rings where something ends a replica.
-    ends: RefCell<HashMap<String, Rc<Notify>>>,
+    /// Signalled when a replica crashes.
+    crash_signals: RefCell<HashMap<String, Rc<Notify>>>,
     pub arrivals: RefCell<Vec<Arrival>>,
     pub cancelled: Rc<RefCell<u32>>,
     started: RefCell<Option<Instant>>,
-    /// Time that a request which ends replicas runs before it does, in milliseconds, besides one.
+    /// Time that a crashing request runs before the crash, in milliseconds, in addition to 1 ms.
     pub ends_after_ms: Cell<u64>,
 }
 
@@ -70,19 +70,19 @@
         self.conduct.borrow_mut().insert(replica.to_owned(), conduct);
     }
 
-    /// Ends a replica: what is in progress there is lost, and nothing listens any more.
+    /// Crashes a replica: its requests in progress are lost, and it stops listening.
     pub fn end(&self, replica: &str) {
         self.ended.borrow_mut().insert(replica.to_owned());
-        self.bell(replica).notify_waiters();
+        self.crash_signal(replica).notify_waiters();
     }
 
-    /// Starts all replicas again that have ended.
+    /// Restarts all crashed replicas.
     pub fn start_all(&self) {
         self.ended.borrow_mut().clear();
     }
 
-    fn bell(&self, replica: &str) -> Rc<Notify> {
-        Rc::clone(self.ends.borrow_mut().entry(replica.to_owned()).or_default())
+    fn crash_signal(&self, replica: &str) -> Rc<Notify> {
+        Rc::clone(self.crash_signals.borrow_mut().entry(replica.to_owned()).or_default())
     }
 
     pub fn arrivals_at(&self, replica: &str) -> usize {
@@ -91,15 +91,15 @@
 }
 
 /// Counts an exchange that is dropped before its end.
-struct Cancelled(Rc<RefCell<u32>>, bool);
+struct CancelGuard(Rc<RefCell<u32>>, bool);
 
-impl Cancelled {
+impl CancelGuard {
     fn finish(&mut self) {
         self.1 = true;
     }
 }
 
-impl Drop for Cancelled {
+impl Drop for CancelGuard {
     fn drop(&mut self) {
         if !self.1 {
             *self.0.borrow_mut() += 1;
@@ -124,15 +124,15 @@
             at_ms: u64::try_from(started.elapsed().as_millis()).unwrap(),
             time_left: attempt.time_left,
         });
-        let mut guard = Cancelled(Rc::clone(&script.cancelled), false);
+        let mut guard = CancelGuard(Rc::clone(&script.cancelled), false);
         let script = Rc::clone(script);
         Box::pin(async move {
-            let bell = script.bell(&replica);
-            let ended = bell.notified();
-            let answering = act(conduct.unwrap_or(Conduct::Answers(5)), &replica, &attempt);
-            let is_ending = attempt.request.path.path().contains(ENDS);
-            let ending = async {
-                if is_ending {
+            let crash_signal = script.crash_signal(&replica);
+            let ended = crash_signal.notified();
+            let answering = perform(conduct.unwrap_or(Conduct::Answers(5)), &replica, &attempt);
+            let is_crashing = attempt.request.path.path().contains(ENDS);
+            let crashing = async {
+                if is_crashing {
                     let runs_ms = 1 + script.ends_after_ms.get();
                     tokio::time::sleep(Duration::from_millis(runs_ms)).await;
                     script.end(&replica);
@@ -142,8 +142,8 @@
             let result = tokio::select! {
                 biased;
                 () = ended => Err(PartFailure::Lost("reset".to_owned())),
-                () = ending => unreachable!("it is never ready"),
-                result = answering, if !is_ending => result,
+                () = crashing => unreachable!("it is never ready"),
+                result = answering, if !is_crashing => result,
             };
             guard.finish();
             result
@@ -171,7 +171,7 @@
     fn retain(&self, _: &HashSet<Arc<str>>) {}
 }
 
-async fn act(conduct: Conduct, replica: &str, attempt: &Attempt) -> Result<Reply, PartFailure> {
+async fn perform(conduct: Conduct, replica: &str, attempt: &Attempt) -> Result<Reply, PartFailure> {
     let pause = |ms| tokio::time::sleep(Duration::from_millis(ms));
     if conduct != Conduct::Unreached {
         attempt.offered.mark();
@@ -256,14 +256,14 @@
     }
 }
 
-/// Part of a path whose requests end each replica that runs them, after a millisecond.
+/// Part of the path of requests that crash each replica that runs them, after 1 ms.
 pub const ENDS: &str = "ends";
 
 pub fn request(id: &str, deadline_ms: u64) -> Request {
     request_for("x", id, deadline_ms)
 }
 
-/// A request whose path ends with `what`.
+/// Creates a request whose path ends with `what`.
 pub fn request_for(what: &str, id: &str, deadline_ms: u64) -> Request {
     Request {
         id: HeaderValue::from_str(id).unwrap(),
--- a/crates/router/tests/keepers.rs
+++ b/crates/router/tests/keepers.rs
@@ -1,5 +1,4 @@
-//! What other instances are asked, where a replica is cold or a request has a home; over real
-//! connections.
+//! Tests of requests to other instances for cold replicas and home regions, over real connections.
 
 mod common;
 
@@ -15,28 +14,28 @@
 use eelgrasspier_router::{Outcome, Peer};
 use tokio::net::TcpListener;
 
-/// An instance that lets out some requests to cold replicas, and gathers nothing.
+/// A mock instance that permits some sends to cold replicas and refuses to gather.
 #[derive(Default)]
-struct Keeper {
-    left: Cell<u32>,
-    asked_for: RefCell<Vec<String>>,
-    gathers: Cell<u32>,
+struct MockInstance {
+    remaining_permits: Cell<u32>,
+    requested_replicas: RefCell<Vec<String>>,
+    gather_requests: Cell<u32>,
 }
 
-struct Front(Rc<Keeper>);
+struct MockService(Rc<MockInstance>);
 
-impl PeerService for Front {
+impl PeerService for MockService {
     fn answer(&self, question: Body) -> AnswerFuture<'_> {
-        let Front(keeper) = self;
+        let MockService(instance) = self;
         let answer = match question {
             Body::ColdSend(question) => {
-                keeper.asked_for.borrow_mut().push(question.replica);
-                let left = keeper.left.get();
-                keeper.left.set(left.saturating_sub(1));
+                instance.requested_replicas.borrow_mut().push(question.replica);
+                let left = instance.remaining_permits.get();
+                instance.remaining_permits.set(left.saturating_sub(1));
                 Body::ColdSendAllowed(left > 0)
             }
             Body::Gather(_) => {
-                keeper.gathers.set(keeper.gathers.get() + 1);
+                instance.gather_requests.set(instance.gather_requests.get() + 1);
                 Body::Refused("it gathers nothing".to_owned())
             }
             other => other,
@@ -51,44 +50,46 @@
     fn observe(&self, _stamp: u64) {}
 }
 
-async fn keeper(zone: &str, left: u32) -> (Rc<Keeper>, Peer) {
-    let keeper = Rc::new(Keeper { left: Cell::new(left), ..Keeper::default() });
+async fn start_mock(zone: &str, permits: u32) -> (Rc<MockInstance>, Peer) {
+    let instance =
+        Rc::new(MockInstance { remaining_permits: Cell::new(permits), ..MockInstance::default() });
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    tokio::task::spawn_local(serve(listener, Rc::new(Front(Rc::clone(&keeper)))));
+    tokio::task::spawn_local(serve(listener, Rc::new(MockService(Rc::clone(&instance)))));
     let (is_gatherer, capacity_milli) = (true, 500);
     let peer = Peer { name: "keeper".into(), addr, zone: zone.into(), is_gatherer, capacity_milli };
-    (keeper, peer)
+    (instance, peer)
 }
 
-fn to_one() -> Route {
+fn service_route() -> Route {
     let mut one = route(1);
     (one.target, one.is_idempotent) = (Target::Service("s0".into()), false);
     one
 }
 
-/// An instance of another zone than all replicas, which gathers nothing itself.
-fn asking(route: Route, services: usize, peer: Peer, cold: &[&str]) -> World {
+/// Builds a router that does not gather, with one peer and the given cold replicas.
+fn world_with_peer(route: Route, services: usize, peer: Peer, cold: &[&str]) -> World {
     let world = World::new(route.clone(), services);
-    let mut now = view(route, services);
-    now.is_gatherer = false;
-    now.instances = 3;
-    now.peers = Arc::new(vec![peer]);
+    let mut new_view = view(route, services);
+    new_view.is_gatherer = false;
+    new_view.instances = 3;
+    new_view.peers = Arc::new(vec![peer]);
     let until_ms = 600_000;
-    now.cold_until_ms = Arc::new(cold.iter().map(|id| (Arc::from(*id), until_ms)).collect());
-    world.shared.publish(now.share_out("z1"));
+    new_view.cold_until_ms = Arc::new(cold.iter().map(|id| (Arc::from(*id), until_ms)).collect());
+    world.shared.publish(new_view.share_out("z1"));
     world
 }
 
-/// Symptom: a service all of whose replicas had come back cold was served at the one instance that
-/// counted for them, and refused at all others.
-/// Sequence: shares of a few requests a second were left unused where no callers came.
-/// Cause it guards against: leave that can't be had elsewhere.
+/// Guards against refusing requests although another instance may still send to the cold replica.
+///
+/// When all replicas of a service restarted cold, only the instance that counted for them served
+/// it. With equal shares of a few requests a second, the shares of instances without callers were
+/// unused.
 #[test]
-fn leave_to_send_to_a_cold_replica_is_had_from_its_keeper() {
+fn another_instance_permits_sends_to_a_cold_replica() {
     in_real_time(async {
-        let (keeper, peer) = keeper("z1", 2).await;
-        let world = asking(to_one(), 1, peer, &["s0/a", "s0/b"]);
+        let (instance, peer) = start_mock("z1", 2).await;
+        let world = world_with_peer(service_route(), 1, peer, &["s0/a", "s0/b"]);
         for id in ["1", "2"] {
             let outcome = world.serve(id, 2_000).await;
             assert!(matches!(outcome, Outcome::Relayed(_)), "{outcome:?}");
@@ -97,41 +98,45 @@
         assert_eq!(refusal.verdict, Verdict::NotRun);
         assert!(refusal.retry_after_ms.is_some());
         assert_eq!(world.script.arrivals.borrow().len(), 2);
-        assert!(keeper.asked_for.borrow().len() > 2, "both replicas were asked for at the end");
+        assert!(
+            instance.requested_replicas.borrow().len() > 2,
+            "both replicas were asked for at the end"
+        );
     });
 }
 
 #[test]
-fn nobody_is_asked_while_a_replica_is_warm() {
+fn no_permission_is_requested_while_a_replica_is_warm() {
     in_real_time(async {
-        let (keeper, peer) = keeper("z1", 5).await;
-        let world = asking(to_one(), 1, peer, &["s0/a"]);
+        let (instance, peer) = start_mock("z1", 5).await;
+        let world = world_with_peer(service_route(), 1, peer, &["s0/a"]);
         let outcome = world.serve("1", 2_000).await;
         assert!(matches!(outcome, Outcome::Relayed(_)), "{outcome:?}");
         assert_eq!(world.script.arrivals_at("s0/b"), 1);
-        assert!(keeper.asked_for.borrow().is_empty());
+        assert!(instance.requested_replicas.borrow().is_empty());
     });
 }
 
-/// Symptom: the body of a request with a home was sent to an instance of another region.
-/// Sequence: a small instance handed it to a large one beside it, which is not at home either.
-/// Cause: instances were chosen by their processor time and zone alone.
+/// Guards against sending the body of a request with a home region to another region.
+///
+/// A small instance handed the request to a larger one of its zone that was outside the home region
+/// too, because instances were chosen by CPU capacity and zone alone.
 #[test]
-fn a_request_with_a_home_is_not_handed_abroad() {
+fn a_request_stays_in_its_home_regions() {
     in_real_time(async {
-        for (home, gathers) in [("island", 0), ("coast", 1)] {
-            let (keeper, peer) = keeper("z1", 0).await;
-            let mut homed = route(4);
-            homed.home_regions = [home.into()].into();
-            let world = asking(homed, 4, peer, &[]);
+        for (home, gather_requests) in [("island", 0), ("coast", 1)] {
+            let (instance, peer) = start_mock("z1", 0).await;
+            let mut home_route = route(4);
+            home_route.home_regions = [home.into()].into();
+            let world = world_with_peer(home_route, 4, peer, &[]);
             let regions = [("z1", "coast"), ("z2", "island")].map(|(z, r)| (z.into(), r.into()));
             world.router.set_regions(regions.into_iter().collect());
-            // Whatever comes of it: only who was asked counts.
+            // The outcome does not matter, only which instances and replicas were asked.
             drop(world.serve("1", 400).await);
-            assert_eq!(keeper.gathers.get().min(1), gathers, "{home}");
-            let abroad = if home == "coast" { "b" } else { "a" };
+            assert_eq!(instance.gather_requests.get().min(1), gather_requests, "{home}");
+            let foreign_replica = if home == "coast" { "b" } else { "a" };
             let arrivals = world.script.arrivals.borrow();
-            assert!(arrivals.iter().all(|a| !a.replica.ends_with(abroad)), "{arrivals:?}");
+            assert!(arrivals.iter().all(|a| !a.replica.ends_with(foreign_replica)), "{arrivals:?}");
         }
     });
 }
