--- a/crates/router/src/backend.rs
+++ b/crates/router/src/backend.rs
@@ -1,4 +1,4 @@
-//! The border towards backend servers.
+//! Interface to backend servers.
 
 use std::collections::HashSet;
 use std::pin::Pin;
@@ -16,56 +16,56 @@
 /// One send of a request to one replica.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// The replica.
+    /// Replica that receives the request.
     pub replica: Arc<ReplicaEntry>,
-    /// The request.
+    /// Request to send.
     pub request: Rc<Request>,
-    /// Time that is left.
+    /// Time left until the deadline.
     pub time_left: Duration,
-    /// Connections that may be open to the replica.
+    /// Maximum number of open connections to the replica.
     pub most_connections: u32,
-    /// Whether the connection is kept open for the next request.
+    /// True if the connection is kept open for further requests.
     pub is_connection_kept: bool,
-    /// Whether the request may run more than once.
+    /// True if the request may run more than once.
     pub is_idempotent: bool,
-    /// Set once the request is given to a connection.
+    /// Set once the request has been handed to a connection.
     pub offered: Offered,
 }
 
-/// A replica's complete answer to this request.
+/// A replica's complete answer to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers to be handed back, signature included.
+    /// Headers to return to the caller, including the signature.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// The replica's signature; every success has one.
+    /// Signature of the replica; present on every success.
     pub signature: Option<Bytes>,
-    /// Requests that the replica runs or holds, if it says so.
+    /// Number of requests that the replica runs or queues, if reported.
     pub load: Option<u32>,
 }
 
-/// An answer on its way; dropped, the connection closes, which cancels the request.
+/// Pending answer; dropping it closes the connection, which cancels the request.
 pub type BackendFuture<T> = Pin<Box<dyn Future<Output = Result<T, PartFailure>>>>;
 
 /// Sends requests to replicas.
 pub trait Backend {
-    /// Sends a request and reads its whole answer.
+    /// Sends a request and reads the complete answer.
     fn send(&self, attempt: Attempt) -> BackendFuture<Reply>;
 
-    /// Whether a request could be sent at once within `most_connections`.
+    /// True if a request can be sent immediately within `most_connections` connections.
     fn has_room(&self, replica: &str, most_connections: u32) -> bool;
 
-    /// Opens a connection to a replica before it is needed.
+    /// Opens a connection to a replica in advance.
     fn warm(&self, replica: Arc<ReplicaEntry>, most_connections: u32) -> BackendFuture<()>;
 
-    /// Finds out whether a replica still takes connections.
+    /// Checks whether a replica accepts connections.
     ///
-    /// Fails with [`PartFailure::NotListening`] where its process has ended.
+    /// Fails with [`PartFailure::NotListening`] if its process has ended.
     fn reach(&self, replica: Arc<ReplicaEntry>, most_connections: u32) -> BackendFuture<()>;
 
-    /// Forgets replicas that are gone.
+    /// Drops the state of replicas that are not in `ids`.
     fn retain(&self, ids: &HashSet<Arc<str>>);
 }
--- a/crates/router/src/cold.rs
+++ b/crates/router/src/cold.rs
@@ -13,24 +13,24 @@
 use crate::view::{Peer, View};
 
 /// Time for a keeper's answer: some ways there and back within a region.
-const ASK_TIMEOUT: Duration = Duration::from_millis(30);
+const COLD_SEND_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// What this instance has let out to cold replicas.
 #[derive(Debug, Default)]
-pub(crate) struct Cold {
+pub(crate) struct ColdLimiter {
     bounds: Cell<ColdBounds>,
     windows: RefCell<Windows>,
 }
 
 /// Whether a request may go to a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Leave {
+pub(crate) enum ColdAdmission {
     /// It is warm, or nothing bounds what it gets.
-    Free,
+    Unlimited,
     /// It is cold and counted here, and may get one more in this second.
-    Counted,
+    CountedHere,
     /// It is cold, and this other instance counts.
-    Ask(Peer),
+    AskOwner(Peer),
     /// It is cold and has got enough, or it is not sure that nobody else counts.
     Denied,
 }
@@ -48,17 +48,22 @@
     }
 
     /// Whether a request may go to a replica now.
-    pub(crate) fn leave_for(&self, view: &View, replica: &ReplicaEntry) -> Leave {
+    pub(crate) fn cold_admission(&self, view: &View, replica: &ReplicaEntry) -> ColdAdmission {
         if !self.is_cold(view, replica) {
-            return Leave::Free;
+            return ColdAdmission::Unlimited;
         }
         match self.cold_share(view, replica) {
-            None => Leave::Free,
-            Some(share) => self.leave_of_keeper(view, replica, share),
+            None => ColdAdmission::Unlimited,
+            Some(share) => self.cold_admission_by_owner(view, replica, share),
         }
     }
 
-    fn leave_of_keeper(&self, view: &View, replica: &ReplicaEntry, share: usize) -> Leave {
+    fn cold_admission_by_owner(
+        &self,
+        view: &View,
+        replica: &ReplicaEntry,
+        share: usize,
+    ) -> ColdAdmission {
         let now_ms = self.shared.now_ms();
         let mut near: Vec<&Peer> =
             view.gatherers.iter().filter(|p| p.zone == replica.zone).collect();
@@ -74,13 +79,17 @@
             candidates.push(Candidate { key: self.key, capacity_milli: view.capacity_milli });
         }
         match gatherers::owner(&replica.service, &candidates) {
-            None => Leave::Denied,
-            Some(index) if index < near.len() => Leave::Ask(near[index].clone()),
+            None => ColdAdmission::Denied,
+            Some(index) if index < near.len() => ColdAdmission::AskOwner(near[index].clone()),
             Some(_) => {
-                let is_keeper = view.settled.is_settled(zone, now_ms)
+                let is_owner = view.settled.is_settled(zone, now_ms)
                     && cold::is_in_touch(view.fleet, self.shared.heard_ms(), now_ms);
                 let has_room = self.cold.windows.borrow().has_room(&replica.id, share, now_ms);
-                if is_keeper && has_room { Leave::Counted } else { Leave::Denied }
+                if is_owner && has_room {
+                    ColdAdmission::CountedHere
+                } else {
+                    ColdAdmission::Denied
+                }
             }
         }
     }
@@ -93,7 +102,7 @@
     }
 
     /// Counts one request to a cold replica that is counted here; false if it has got enough.
-    pub(crate) fn take_cold(&self, view: &View, replica: &ReplicaEntry) -> bool {
+    pub(crate) fn try_take_cold_send(&self, view: &View, replica: &ReplicaEntry) -> bool {
         let Some(share) = self.cold_share(view, replica) else { return true };
         let now_ms = self.shared.now_ms();
         let is_taken = self.cold.windows.borrow_mut().take(&replica.id, share, now_ms);
@@ -102,40 +111,40 @@
     }
 
     /// Asks the keeper of a cold replica whether a request may go there.
-    pub(crate) async fn ask_cold(
+    pub(crate) async fn request_cold_send(
         &self,
-        keeper: &Peer,
+        owner: &Peer,
         replica: &ReplicaEntry,
         request: &Request,
     ) -> bool {
-        let question = Body::ColdSend(ColdSend {
+        let peer_request = Body::ColdSend(ColdSend {
             replica: replica.id.to_string(),
             service: replica.service.to_string(),
             request_id: request.id.as_bytes().to_vec().into(),
         });
-        let answer = self.links.ask(keeper.addr, question, ASK_TIMEOUT).await;
+        let answer = self.links.ask(owner.addr, peer_request, COLD_SEND_TIMEOUT).await;
         let is_allowed = matches!(answer, Ok(Body::ColdSendAllowed(true)));
         log::info!(
             "event=cold_send id={} replica={} keeper={} allowed={is_allowed}",
             request.id_text(),
             replica.id,
-            keeper.name
+            owner.name
         );
         is_allowed
     }
 
     /// Answers another instance that is about to send to a cold replica.
-    pub(crate) fn allow_cold_send(&self, question: &ColdSend) -> bool {
+    pub(crate) fn allow_cold_send(&self, peer_request: &ColdSend) -> bool {
         let view = self.shared.view.load_full();
-        let listed = view.replicas.get(question.service.as_str());
-        let replica = listed.and_then(|all| all.iter().find(|r| *r.id == *question.replica));
+        let listed = view.replicas.get(peer_request.service.as_str());
+        let replica = listed.and_then(|all| all.iter().find(|r| *r.id == *peer_request.replica));
         // One that is not listed here may be new: what is not counted is not let out.
         let Some(replica) = replica else { return false };
-        match self.leave_for(&view, replica) {
+        match self.cold_admission(&view, replica) {
             // It has turned warm meanwhile.
-            Leave::Free => true,
-            Leave::Counted => self.take_cold(&view, replica),
-            Leave::Ask(_) | Leave::Denied => {
+            ColdAdmission::Unlimited => true,
+            ColdAdmission::CountedHere => self.try_take_cold_send(&view, replica),
+            ColdAdmission::AskOwner(_) | ColdAdmission::Denied => {
                 count(false);
                 false
             }
--- a/crates/router/src/gather/admit.rs
+++ b/crates/router/src/gather/admission.rs
@@ -8,7 +8,7 @@
 impl Gather<'_> {
     /// Leaves out shards that would be late; false if the request is refused instead.
     pub(super) fn admit(&mut self) -> bool {
-        let may_miss = self.shards.len() - self.least;
+        let may_miss = self.shards.len() - self.required_shards;
         let Some(retry_after_ms) = self.plan(may_miss, may_miss) else { return true };
         self.gathered.refused_ms = Some(retry_after_ms);
         false
@@ -19,17 +19,17 @@
     /// The asking instance goes by what it was told with earlier answers, and that is older.
     pub(super) fn admit_for_peer(&mut self, may_miss: usize, may_leave_out: usize) -> bool {
         self.gathered.refused_ms = self.plan(may_miss, may_leave_out);
-        let is_begun = self.gathered.refused_ms.is_none();
-        if !is_begun {
+        let is_started = self.gathered.refused_ms.is_none();
+        if !is_started {
             self.gathered.left_out = self.services(|_| true);
         }
-        is_begun
+        is_started
     }
 
     /// When to come back, if more shards would be late than may be left out.
     fn plan(&mut self, may_miss: usize, may_leave_out: usize) -> Option<u64> {
         let now_ms = self.router.shared.now_ms();
-        let left_ms = self.times.target_at_ms.saturating_sub(now_ms);
+        let left_ms = self.deadlines.target_at_ms.saturating_sub(now_ms);
         let left_ms = f64::from(u32::try_from(left_ms).unwrap_or(u32::MAX));
         let answer_ms: Vec<f64> =
             (0..self.shards.len()).map(|i| self.answer_ms(i, left_ms)).collect();
@@ -57,7 +57,7 @@
     pub(super) fn may_miss(&self) -> usize {
         let is_lost = |s: &&Shard| matches!(s.state, ShardState::Failed | ShardState::LeftOut);
         let lost = self.shards.iter().filter(is_lost).count();
-        (self.shards.len() - lost).saturating_sub(self.least)
+        (self.shards.len() - lost).saturating_sub(self.required_shards)
     }
 
     /// Time after which a shard is expected to answer, in milliseconds, by its best replica.
@@ -66,8 +66,9 @@
     /// in spite of a little doubt mostly answers, while one that is left out never does.
     fn answer_ms(&self, index: usize, left_ms: f64) -> f64 {
         let service = &self.shards[index].service;
-        let spent = self.router.spent(service, self.view);
-        let expected = self.replicas(service).map(|r| self.router.expect(r, &self.pace, spent));
+        let budget_used = self.router.retry_budget_used(service, self.view);
+        let expected =
+            self.replicas(service).map(|r| self.router.estimate(r, &self.timing, budget_used));
         let best = expected.min_by(|a, b| a.cost_ms.total_cmp(&b.cost_ms));
         best.map_or(0.0, |best| if best.cost_ms > left_ms { best.cost_ms } else { best.answer_ms })
     }
--- a/crates/router/src/gather/caution.rs
+++ b/crates/router/src/gather/quarantine.rs
@@ -15,13 +15,13 @@
 
 /// Replicas on which one request is tried by itself at the most: two ends prove enough, and one
 /// trial may bring nothing, such as one at a replica that is paused.
-const MOST_TRIALS: usize = 3;
+const MAX_TRIALS: usize = 3;
 /// Replicas that have lost a request which nobody has answered from which further sends wait
 /// until it is known whether they have ended, some milliseconds. One is lost often.
-const LOST_FROM: usize = 2;
+const LOSSES_TO_HOLD: usize = 2;
 
 /// Shards of which one answers before second sends are due, as a rule.
-const MANY_SHARDS: usize = 4;
+const HEDGE_HOLD_MIN_SHARDS: usize = 4;
 
 /// Whether a send may go out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Trials {
     /// Whether they are made here; the instance that asks for some shards makes them itself.
-    pub(super) are_made_here: bool,
+    pub(super) run_locally: bool,
     /// Replicas that it was tried on.
     replicas: Vec<Arc<str>>,
     /// When the last one counts as without a finding, in milliseconds.
@@ -45,7 +45,7 @@
 
 impl Trials {
     /// Takes back a trial whose replica surely did not run the request.
-    pub(super) fn take_back(&mut self, replica: &str) {
+    pub(super) fn retract(&mut self, replica: &str) {
         if let Some(at) = self.replicas.iter().position(|tried| **tried == *replica) {
             self.replicas.swap_remove(at);
             self.until_ms = 0;
@@ -55,7 +55,7 @@
 
 impl Gather<'_> {
     /// Whether the request is refused since replicas end under it.
-    pub(super) fn is_refused(&self) -> bool {
+    pub(super) fn is_quarantined(&self) -> bool {
         matches!(self.treatment(), Treatment::Refused(_))
     }
 
@@ -68,21 +68,22 @@
     ///
     /// Where none of many shards has answered, no single replica is to blame, and a request that
     /// ends replicas would take the other one of each shard.
-    pub(super) fn is_held_back(&self) -> bool {
+    pub(super) fn are_hedges_held(&self) -> bool {
         let is_answered = self.request.learnt.is_answered.get();
-        let has_many = self.shards.len() >= MANY_SHARDS;
-        !is_answered && (has_many || self.is_suspect() || self.unclear_losses() >= LOST_FROM)
+        let has_many = self.shards.len() >= HEDGE_HOLD_MIN_SHARDS;
+        !is_answered
+            && (has_many || self.is_suspect() || self.unresolved_losses() >= LOSSES_TO_HOLD)
     }
 
     /// Notes for how long it is refused, where it is.
-    pub(super) fn note_refusal(&mut self) {
+    pub(super) fn record_quarantine(&mut self) {
         if let Treatment::Refused(left_ms) = self.treatment() {
-            self.gathered.ends_replicas_ms = Some(left_ms);
+            self.gathered.quarantined_ms = Some(left_ms);
         }
     }
 
     /// Whether a shard's request may go to `replica`.
-    pub(super) fn judge_send(
+    pub(super) fn check_send(
         &mut self,
         index: usize,
         replica: &Arc<ReplicaEntry>,
@@ -93,23 +94,26 @@
         }
         match self.treatment() {
             Treatment::Refused(_) => Permission::Never,
-            Treatment::OneByOne if !self.trials.are_made_here => Permission::Never,
-            Treatment::OneByOne => self.judge_trial(index, replica, now_ms),
-            Treatment::Usual if self.unclear_losses() >= LOST_FROM => Permission::Later,
+            Treatment::OneByOne if !self.trials.run_locally => Permission::Never,
+            Treatment::OneByOne => self.check_trial(index, replica, now_ms),
+            Treatment::Usual if self.unresolved_losses() >= LOSSES_TO_HOLD => Permission::Later,
             Treatment::Usual => Permission::Now,
         }
     }
 
     /// Lets one shard's send out, if nothing else of the request is on its way.
-    fn judge_trial(
+    fn check_trial(
         &mut self,
         index: usize,
         replica: &Arc<ReplicaEntry>,
         now_ms: u64,
     ) -> Permission {
         let in_flight: usize = self.shards.iter().map(|s| s.in_flight).sum();
-        let is_waited_for = in_flight > 0 && now_ms < self.trials.until_ms;
-        if is_waited_for || self.unclear_losses() > 0 || Some(index) != self.next_on_trial() {
+        let is_trial_pending = in_flight > 0 && now_ms < self.trials.until_ms;
+        if is_trial_pending
+            || self.unresolved_losses() > 0
+            || Some(index) != self.next_trial_shard()
+        {
             return Permission::Later;
         }
         if self.trials.until_ms == 0 && in_flight > 0 {
@@ -117,7 +121,7 @@
             self.trials.until_ms = now_ms + self.trial_ms();
             return Permission::Later;
         }
-        if self.trials.replicas.len() >= MOST_TRIALS {
+        if self.trials.replicas.len() >= MAX_TRIALS {
             return Permission::Never;
         }
         let trial_ms = self.trial_ms();
@@ -132,17 +136,17 @@
     /// Longest time in which a trial brings a finding: a replica that has just started is slow to
     /// end as well, and a trial that is given up before proves nothing.
     fn trial_ms(&self) -> u64 {
-        self.pace.hedge_ms.max(self.route.target_latency_ms)
+        self.timing.hedge_delay_ms.max(self.route.target_latency_ms)
     }
 
     /// The shard that is tried next: another one for each request, so that two that are tried at
     /// the same time meet at the same replica but rarely.
-    fn next_on_trial(&self) -> Option<usize> {
+    fn next_trial_shard(&self) -> Option<usize> {
         let fingerprint = self.request.fingerprint();
         let is_waiting = |i: &usize| {
             let shard = &self.shards[*i];
-            let is_open = shard.state == ShardState::Open && shard.in_flight == 0;
-            is_open && self.open_replicas(shard).next().is_some()
+            let is_open = shard.state == ShardState::Pending && shard.in_flight == 0;
+            is_open && self.eligible_replicas(shard).next().is_some()
         };
         let waiting = (0..self.shards.len()).filter(is_waiting);
         waiting.min_by_key(|&i| fingerprint.order(&self.shards[i].service))
@@ -153,7 +157,7 @@
     }
 
     /// Replicas that have lost it and of which it is not known yet whether they have ended.
-    fn unclear_losses(&self) -> usize {
+    fn unresolved_losses(&self) -> usize {
         self.router.losses.borrow().awaited(self.request.fingerprint())
     }
 }
--- a/crates/router/src/gather/relay.rs
+++ b/crates/router/src/gather/relay.rs
@@ -15,23 +15,23 @@
 use eelgrasspier_peer::wire::{self, Body};
 
 use super::shard::{Shard, ShardState};
-use super::{Gather, Landed};
+use super::{Event, Gather};
 use crate::view::Peer;
 
 /// Kept of the target time for the other instance's answer to come back.
-const RETURN_MS: u64 = 3;
+const RETURN_MARGIN_MS: u64 = 3;
 /// How many times the own processor time another instance must have to gather in place of
 /// this one: the way there and back and one more question are small beside half of the work.
-const LARGER_BY: u32 = 2;
+const DELEGATE_CAPACITY_FACTOR: u32 = 2;
 /// Time that an answer needs at least for the detour to be worth it.
-const LEAST_ANSWER_MS: u64 = 8;
+const MIN_ANSWER_MS: u64 = 8;
 
 /// When an instance is asked whether it answers at all.
 ///
 /// A late answer has two causes. Mostly a shard is late, and the instance sends second
 /// requests itself: to send them from here too took three times the budget for repeats.
 /// But it may be frozen or cut off, and then another must be asked for all its shards.
-pub(super) struct Check {
+pub(super) struct Probe {
     pub(super) peer: Peer,
     pub(super) shards: Vec<usize>,
     pub(super) at_ms: u64,
@@ -39,7 +39,7 @@
 
 /// How some shards are asked for.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Ask {
+pub(super) struct RelayOptions {
     /// Whether another instance may have sent them.
     pub(super) is_repeat: bool,
     /// How many of them may be left out where they would be late.
@@ -49,7 +49,7 @@
 }
 
 /// The end of a question to another instance.
-pub(super) struct RelayEnd {
+pub(super) struct RelayResult {
     pub(super) peer: Arc<str>,
     pub(super) zone: Arc<str>,
     pub(super) shards: Vec<usize>,
@@ -70,56 +70,64 @@
         if self.shards.len() == 1 || !is_small {
             return None;
         }
-        let mut peers = self.sound_peers();
-        let least_milli = self.view.capacity_milli.saturating_mul(LARGER_BY);
-        peers.retain(|p| p.capacity_milli >= least_milli);
+        let mut peers = self.healthy_peers();
+        let min_capacity_milli = self.view.capacity_milli.saturating_mul(DELEGATE_CAPACITY_FACTOR);
+        peers.retain(|p| p.capacity_milli >= min_capacity_milli);
         router.best_peer(&peers, &router.zone, rand::random())
     }
 
     /// Asks an instance of the own zone for all shards.
-    pub(super) fn hand_over(&mut self, peer: &Peer) {
+    pub(super) fn delegate_to(&mut self, peer: &Peer) {
         let all = (0..self.shards.len()).collect();
         let may_leave_out = self.may_miss();
-        self.ask(peer, all, Ask { is_repeat: false, may_leave_out, is_whole: true });
+        self.relay_shards(
+            peer,
+            all,
+            RelayOptions { is_repeat: false, may_leave_out, is_whole: true },
+        );
     }
 
     /// Sends all shards: some directly, some by way of other instances.
     ///
     /// `is_repeat` if a third one may have sent them.
-    pub(super) fn ask_all(&mut self, is_repeat: bool) {
-        let groups = self.groups();
-        let may_leave_out = self.share_misses(&groups);
-        let mut is_asked: Vec<bool> =
+    pub(super) fn dispatch_all(&mut self, is_repeat: bool) {
+        let relay_groups = self.relay_groups();
+        let may_leave_out = self.split_miss_budget(&relay_groups);
+        let mut is_relayed: Vec<bool> =
             self.shards.iter().map(|s| s.state == ShardState::LeftOut).collect();
-        for ((peer, shards), may_leave_out) in groups.into_iter().zip(may_leave_out) {
+        for ((peer, shards), may_leave_out) in relay_groups.into_iter().zip(may_leave_out) {
             for &shard in &shards {
-                is_asked[shard] = true;
+                is_relayed[shard] = true;
             }
-            self.ask(&peer, shards, Ask { is_repeat, may_leave_out, is_whole: false });
+            self.relay_shards(
+                &peer,
+                shards,
+                RelayOptions { is_repeat, may_leave_out, is_whole: false },
+            );
         }
-        for index in (0..self.shards.len()).filter(|&i| !is_asked[i]) {
+        for index in (0..self.shards.len()).filter(|&i| !is_relayed[i]) {
             self.send_for_peer(index, is_repeat);
         }
     }
 
     /// How many of its shards each of those who are asked may leave out.
-    fn share_misses(&self, groups: &[(Peer, Vec<usize>)]) -> Vec<usize> {
-        let mut sizes: Vec<usize> = groups.iter().map(|(_, shards)| shards.len()).collect();
-        let open = self.shards.iter().filter(|s| s.state == ShardState::Open).count();
+    fn split_miss_budget(&self, relay_groups: &[(Peer, Vec<usize>)]) -> Vec<usize> {
+        let mut sizes: Vec<usize> = relay_groups.iter().map(|(_, shards)| shards.len()).collect();
+        let open = self.shards.iter().filter(|s| s.state == ShardState::Pending).count();
         // What is sent from here may be late as well.
         sizes.push(open - sizes.iter().sum::<usize>());
         admission::share_misses(self.may_miss(), &sizes)
     }
 
     /// Shards that are best asked for elsewhere, with the instance to ask.
-    fn groups(&self) -> Vec<(Peer, Vec<usize>)> {
+    fn relay_groups(&self) -> Vec<(Peer, Vec<usize>)> {
         // One that is tried on one replica at a time is sent from here only: each of those who
         // are asked would try it on one.
         if self.shards.len() == 1 || self.view.peers.is_empty() || self.is_suspect() {
             return Vec::new();
         }
-        let peers = self.sound_peers();
-        let open = (0..self.shards.len()).filter(|&i| self.shards[i].state == ShardState::Open);
+        let peers = self.healthy_peers();
+        let open = (0..self.shards.len()).filter(|&i| self.shards[i].state == ShardState::Pending);
         self.assign(open, &self.router.zone, &peers)
     }
 
@@ -127,7 +135,7 @@
     pub(super) fn assign(
         &self,
         shards: impl IntoIterator<Item = usize>,
-        first: &str,
+        preferred_zone: &str,
         peers: &[&Peer],
     ) -> Vec<(Peer, Vec<usize>)> {
         let router = self.router;
@@ -135,21 +143,21 @@
         let zones = |index: usize| self.relay_zones(&self.shards[index], peers);
         let places = shards.into_iter().map(|index| (index, zones(index)));
         let places = places.filter(|(_, zones)| !zones.is_empty()).collect();
-        let turn = rand::random();
-        let least = if is_sliced(&router.zone) { 1 } else { LEAST_GROUP };
-        let mut asked = Vec::new();
-        for group in relays::group(places, first, least, turn) {
+        let tie_breaker = rand::random();
+        let min_group_size = if is_sliced(&router.zone) { 1 } else { LEAST_GROUP };
+        let mut assigned = Vec::new();
+        for group in relays::group(places, preferred_zone, min_group_size, tie_breaker) {
             if is_sliced(group.zone) {
-                asked.extend(self.by_owner(&group, peers));
-            } else if let Some(peer) = router.best_peer(peers, group.zone, turn) {
-                asked.push((peer.clone(), group.shards));
+                assigned.extend(self.split_by_owner(&group, peers));
+            } else if let Some(peer) = router.best_peer(peers, group.zone, tie_breaker) {
+                assigned.push((peer.clone(), group.shards));
             }
         }
-        asked
+        assigned
     }
 
     /// Splits a large zone's shards among those that gather them; the own ones are left.
-    fn by_owner(&self, group: &Group<'_>, peers: &[&Peer]) -> Vec<(Peer, Vec<usize>)> {
+    fn split_by_owner(&self, group: &Group<'_>, peers: &[&Peer]) -> Vec<(Peer, Vec<usize>)> {
         let near: Vec<&&Peer> = peers.iter().filter(|p| &*p.zone == group.zone).collect();
         let gathering: Vec<Candidate> = near.iter().map(|p| p.candidate()).collect();
         let mut split: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
@@ -165,8 +173,8 @@
     fn relay_zones<'p>(&self, shard: &Shard, peers: &[&'p Peer]) -> Vec<&'p str> {
         let allowed = self.replicas(&shard.service).filter(|r| shard.allows(r));
         // Where none is open here, whoever counts for a cold one knows what it may get.
-        let is_any_open = allowed.clone().any(|r| self.is_open_here(r));
-        let replicas = allowed.filter(|r| !is_any_open || self.is_open_here(r));
+        let is_any_open = allowed.clone().any(|r| self.may_send_directly(r));
+        let replicas = allowed.filter(|r| !is_any_open || self.may_send_directly(r));
         if self.router.gathers(self.view, &shard.service)
             && replicas.clone().any(|r| r.zone == self.router.zone)
         {
@@ -181,46 +189,47 @@
     }
 
     /// Asks an instance for some shards.
-    pub(super) fn ask(&mut self, peer: &Peer, shards: Vec<usize>, ask: Ask) {
+    pub(super) fn relay_shards(&mut self, peer: &Peer, shards: Vec<usize>, options: RelayOptions) {
         let now_ms = self.router.shared.now_ms();
-        let check_ms = self.route_state.relay_check_after_ms(self.route.target_latency_ms);
+        let probe_delay_ms = self.route_state.relay_probe_delay_ms(self.route.target_latency_ms);
         for &index in &shards {
             // Those that were drawn for another instance stay: it may have sent to them.
             let drawn = self.shards[index].allowed.take();
-            let allowed = drawn.unwrap_or_else(|| self.draw(index, &peer.zone));
+            let allowed = drawn.unwrap_or_else(|| self.draw_replicas(index, &peer.zone));
             let shard = &mut self.shards[index];
             shard.in_flight += 1;
             shard.allowed = Some(allowed);
         }
-        let at_ms = now_ms + check_ms;
-        self.checks.push(Check { peer: peer.clone(), shards: shards.clone(), at_ms });
-        let question = self.question(&shards, now_ms, ask);
-        let time_left = Duration::from_millis(self.times.limit_at_ms.saturating_sub(now_ms));
+        let at_ms = now_ms + probe_delay_ms;
+        self.probes.push(Probe { peer: peer.clone(), shards: shards.clone(), at_ms });
+        let peer_request = self.peer_request(&shards, now_ms, options);
+        let time_left = Duration::from_millis(self.deadlines.limit_at_ms.saturating_sub(now_ms));
         let offered = Offered::default();
-        self.offers.push(offered.clone());
-        let asking = Rc::clone(self.router).ask_peer(
+        self.write_flags.push(offered.clone());
+        let answer = Rc::clone(self.router).send_to_peer(
             peer.clone(),
-            question,
+            peer_request,
             time_left,
             Rc::clone(&self.route_state),
             offered.clone(),
         );
-        let land = self.land.clone();
+        let event_sender = self.event_sender.clone();
         let (peer, zone) = (Arc::clone(&peer.name), Arc::clone(&peer.zone));
         self.gathered.relays += 1;
-        self.flights.questions.push(actix_rt::spawn(async move {
-            let result = asking.await;
-            if has_not_run(&result) {
+        self.tasks.peer_requests.push(actix_rt::spawn(async move {
+            let result = answer.await;
+            if cannot_have_run(&result) {
                 offered.clear();
             }
-            let end = RelayEnd { peer, zone, shards, is_whole: ask.is_whole, result };
+            let relay_result =
+                RelayResult { peer, zone, shards, is_whole: options.is_whole, result };
             // Nobody listens once the answer has gone out.
-            let _is_late = land.send(Landed::Relay(end)).is_err();
+            let _is_closed = event_sender.send(Event::Relay(relay_result)).is_err();
         }));
     }
 
     /// Marks of the replicas that a shard asked for in `zone` may be sent to.
-    fn draw(&self, index: usize, zone: &str) -> Vec<u32> {
+    fn draw_replicas(&self, index: usize, zone: &str) -> Vec<u32> {
         let all: Vec<_> = self.replicas(&self.shards[index].service).collect();
         let places: Vec<Place<'_>> = all.iter().map(|r| self.place(r)).collect();
         let request = rendezvous::hash(self.request.id_text());
@@ -229,27 +238,28 @@
     }
 
     fn place(&self, replica: &'a ReplicaEntry) -> Place<'a> {
-        let is_slow = self.router.is_slow(relays::mark(&replica.id)) || !self.is_open_here(replica);
+        let is_slow =
+            self.router.is_slow(relays::mark(&replica.id)) || !self.may_send_directly(replica);
         Place { id: &replica.id, zone: &replica.zone, is_slow }
     }
 
-    fn question(&self, shards: &[usize], now_ms: u64, ask: Ask) -> Body {
-        let Ask { is_repeat, may_leave_out, is_whole } = ask;
+    fn peer_request(&self, shards: &[usize], now_ms: u64, options: RelayOptions) -> Body {
+        let RelayOptions { is_repeat, may_leave_out, is_whole } = options;
         let request = self.request;
-        let until_target_ms = self.times.target_at_ms.saturating_sub(now_ms);
-        let time_left_ms = self.times.limit_at_ms.saturating_sub(now_ms);
+        let until_target_ms = self.deadlines.target_at_ms.saturating_sub(now_ms);
+        let time_left_ms = self.deadlines.limit_at_ms.saturating_sub(now_ms);
         // Once the target is out of reach, whatever comes before the limit will do.
-        let answer_within_ms = if until_target_ms >= LEAST_ANSWER_MS + RETURN_MS {
-            until_target_ms - RETURN_MS
+        let answer_within_ms = if until_target_ms >= MIN_ANSWER_MS + RETURN_MARGIN_MS {
+            until_target_ms - RETURN_MARGIN_MS
         } else {
-            time_left_ms.saturating_sub(RETURN_MS)
+            time_left_ms.saturating_sub(RETURN_MARGIN_MS)
         };
         let header = |(name, value): (&http::HeaderName, &http::HeaderValue)| wire::Header {
             name: name.as_str().to_owned(),
             value: value.as_bytes().to_vec().into(),
         };
         let service = |&i: &usize| self.shards[i].service.to_string();
-        let number = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
+        let to_u32 = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         // Padded, so that the other side can tell which belong to which shard.
         let marks = |&i: &usize| {
             let mut marks = self.shards[i].allowed.clone().unwrap_or_default();
@@ -266,14 +276,14 @@
             route: self.route.name.to_string(),
             services: shards.iter().map(service).collect(),
             allowed: shards.iter().flat_map(marks).collect(),
-            attempts: number(self.route.attempts),
-            top_k: number(self.route.top_k),
+            attempts: to_u32(self.route.attempts),
+            top_k: to_u32(self.route.top_k),
             time_left_ms,
             answer_within_ms,
             target_latency_ms: self.route.target_latency_ms,
             is_repeat,
-            may_miss: number(self.may_miss()),
-            misses_of_others: number(self.may_miss().saturating_sub(may_leave_out)),
+            may_miss: to_u32(self.may_miss()),
+            misses_of_others: to_u32(self.may_miss().saturating_sub(may_leave_out)),
             is_whole,
             // Zero stands for "does not say".
             sent_ms: now_ms.max(1),
@@ -284,7 +294,7 @@
 }
 
 /// Whether nothing of a question can have reached a replica.
-fn has_not_run(result: &Result<wire::Gathered, PeerError>) -> bool {
+fn cannot_have_run(result: &Result<wire::Gathered, PeerError>) -> bool {
     match result {
         Ok(answer) => !answer.may_have_run && answer.parts.is_empty(),
         Err(error) => matches!(error, PeerError::NotReached(_)),
--- a/crates/router/src/gather/relay_ends.rs
+++ b/crates/router/src/gather/relay_results.rs
@@ -7,42 +7,43 @@
 use eelgrasspier_peer::PeerError;
 use eelgrasspier_peer::wire;
 
-use super::relay::{Ask, Check, RelayEnd};
+use super::relay::{Probe, RelayOptions, RelayResult};
 use super::shard::ShardState;
-use super::{Gather, Landed, MergedParts};
+use super::{Event, Gather, MergedParts};
 use crate::view::Peer;
 
 /// Time in which an instance says that it is alive; a way there and back within a region
 /// takes up to 6 ms.
-const ALIVE_TIMEOUT: Duration = Duration::from_millis(10);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(10);
 
 impl Gather<'_> {
-    pub(super) fn check_due(&mut self, now_ms: u64) {
-        let is_due = |c: &mut Check| c.at_ms <= now_ms;
-        let due: Vec<Check> = self.checks.extract_if(.., is_due).collect();
-        for Check { peer, shards, .. } in due {
-            if shards.iter().all(|&i| self.shards[i].state != ShardState::Open) {
+    pub(super) fn send_due_probes(&mut self, now_ms: u64) {
+        let is_due = |c: &mut Probe| c.at_ms <= now_ms;
+        let due: Vec<Probe> = self.probes.extract_if(.., is_due).collect();
+        for Probe { peer, shards, .. } in due {
+            if shards.iter().all(|&i| self.shards[i].state != ShardState::Pending) {
                 continue;
             }
             let router = Rc::clone(self.router);
-            let land = self.land.clone();
-            self.flights.questions.push(actix_rt::spawn(async move {
-                let is_alive = router.is_alive(&peer, ALIVE_TIMEOUT).await;
+            let event_sender = self.event_sender.clone();
+            self.tasks.peer_requests.push(actix_rt::spawn(async move {
+                let is_alive = router.is_alive(&peer, PROBE_TIMEOUT).await;
                 // Nobody listens once the answer has gone out.
-                let _is_late = land.send(Landed::Checked { peer, shards, is_alive }).is_err();
+                let _is_closed =
+                    event_sender.send(Event::Probed { peer, shards, is_alive }).is_err();
             }));
         }
     }
 
-    pub(super) fn take_check(&mut self, peer: &Peer, shards: &[usize], is_alive: bool) {
+    pub(super) fn on_probe_result(&mut self, peer: &Peer, shards: &[usize], is_alive: bool) {
         if is_alive {
             return;
         }
         let id = self.request.id_text();
         log::info!("event=relay_silent id={id} peer={} shards={}", peer.name, shards.len());
-        self.router.note_silent(peer);
-        for index in self.ask_another(&peer.name, &peer.zone, shards, true) {
-            self.send_again(index, "relay_silent");
+        self.router.record_unresponsive(peer);
+        for index in self.relay_to_another(&peer.name, &peer.zone, shards, true) {
+            self.resend(index, "relay_silent");
         }
     }
 
@@ -53,23 +54,23 @@
     /// nearly all are sent by those who do: when one of them was lost, the requests that it
     /// worked for lost its shards, 1,788 sends in two seconds with 35 of 77 instances killed.
     /// The one that is asked now pays. Each shard moves once.
-    fn ask_another(
+    fn relay_to_another(
         &mut self,
         lost: &str,
         zone: &str,
         shards: &[usize],
         is_repeat: bool,
     ) -> Vec<usize> {
-        let is_open = |i: &&usize| self.shards[**i].state == ShardState::Open;
+        let is_open = |i: &&usize| self.shards[**i].state == ShardState::Pending;
         let open: Vec<usize> = shards.iter().filter(is_open).copied().collect();
         if !self.view.is_sliced(zone) || self.is_suspect() {
             return open;
         }
-        let mut peers = self.sound_peers();
+        let mut peers = self.healthy_peers();
         peers.retain(|p| &*p.name != lost);
-        let fresh = open.iter().copied().filter(|&i| !self.shards[i].was_moved);
+        let fresh = open.iter().copied().filter(|&i| !self.shards[i].was_reassigned);
         let moved = self.assign(fresh.collect::<Vec<_>>(), zone, &peers);
-        let mut left: BTreeSet<usize> = open.into_iter().collect();
+        let mut remaining: BTreeSet<usize> = open.into_iter().collect();
         for (peer, shards) in moved {
             let (id, count) = (self.request.id_text(), shards.len());
             log::info!(
@@ -77,35 +78,39 @@
                 peer.name
             );
             for &index in &shards {
-                left.remove(&index);
-                self.shards[index].was_moved = true;
+                remaining.remove(&index);
+                self.shards[index].was_reassigned = true;
             }
             // What may be missed was divided before.
-            self.ask(&peer, shards, Ask { is_repeat, may_leave_out: 0, is_whole: false });
+            self.relay_shards(
+                &peer,
+                shards,
+                RelayOptions { is_repeat, may_leave_out: 0, is_whole: false },
+            );
         }
-        left.into_iter().collect()
+        remaining.into_iter().collect()
     }
 
-    pub(super) fn take_relay(&mut self, end: RelayEnd) {
-        let RelayEnd { peer, zone, shards, is_whole, result } = end;
+    pub(super) fn on_relay_result(&mut self, relay_result: RelayResult) {
+        let RelayResult { peer, zone, shards, is_whole, result } = relay_result;
         for &index in &shards {
             self.shards[index].in_flight -= 1;
         }
         match result {
-            Ok(answer) => self.take_merged(&shards, is_whole, answer),
+            Ok(answer) => self.on_merged_answer(&shards, is_whole, answer),
             Err(error) => {
                 let id = self.request.id_text();
                 log::info!("event=relay_failed id={id} peer={peer} cause=\"{error}\"");
                 let was_sent = !matches!(error, PeerError::NotReached(_));
                 self.gathered.may_have_run |= was_sent;
-                for index in self.ask_another(&peer, &zone, &shards, was_sent) {
-                    self.recover_relayed(index, was_sent);
+                for index in self.relay_to_another(&peer, &zone, &shards, was_sent) {
+                    self.retry_relayed(index, was_sent);
                 }
             }
         }
     }
 
-    fn take_merged(&mut self, shards: &[usize], is_whole: bool, answer: wire::Gathered) {
+    fn on_merged_answer(&mut self, shards: &[usize], is_whole: bool, answer: wire::Gathered) {
         let wire::Gathered {
             records,
             parts,
@@ -119,15 +124,15 @@
         if is_whole && refused_ms > 0 && !may_have_run {
             self.gathered.refused_ms = Some(refused_ms);
         }
-        self.router.note_slow(&slow);
+        self.router.record_slow(&slow);
         let services = shards.iter().map(|&i| &self.shards[i].service);
-        self.router.note_busy(self.view, services, &busy);
-        self.take_left_out(shards, &left_out);
+        self.router.record_busy(self.view, services, &busy);
+        self.apply_left_out(shards, &left_out);
         self.gathered.may_have_run |= may_have_run || !parts.is_empty();
         if !parts.is_empty() {
-            self.router.note_answered(self.request);
+            self.router.record_answered(self.request);
         }
-        self.router.take_reports(report.as_slice(), "answer");
+        self.router.merge_reports(report.as_slice(), "answer");
         let position = |part: wire::Signed| {
             let shard = shards.get(usize::try_from(part.shard).ok()?)?;
             Some((*shard, part.signature))
@@ -136,7 +141,7 @@
         // Two instances were asked where one was silent. A merged answer can't be taken apart,
         // and a shard that is in twice would make the whole answer wrong.
         if parts.iter().any(|(index, _)| self.gathered.has_merged(*index)) {
-            return shards.iter().for_each(|&index| self.settle(index));
+            return shards.iter().for_each(|&index| self.fail_if_idle(index));
         }
         for &(index, _) in &parts {
             self.shards[index].state = ShardState::Covered;
@@ -145,31 +150,31 @@
         for &index in shards {
             if is_whole {
                 // It has tried what there was to try, and knows the replicas better.
-                self.settle(index);
+                self.fail_if_idle(index);
             } else {
-                self.recover_relayed(index, true);
+                self.retry_relayed(index, true);
             }
         }
     }
 
     /// Takes note of shards that the other instance did not send, since they would be late.
-    fn take_left_out(&mut self, shards: &[usize], left_out: &[u32]) {
+    fn apply_left_out(&mut self, shards: &[usize], left_out: &[u32]) {
         let positions = left_out.iter().filter_map(|&i| shards.get(usize::try_from(i).ok()?));
         for &index in positions {
-            if self.shards[index].state == ShardState::Open {
+            if self.shards[index].state == ShardState::Pending {
                 self.shards[index].state = ShardState::LeftOut;
             }
         }
     }
 
     /// Asks a replica directly for a shard that the other instance did not bring.
-    fn recover_relayed(&mut self, index: usize, was_sent: bool) {
+    fn retry_relayed(&mut self, index: usize, was_sent: bool) {
         let shard = &mut self.shards[index];
-        if shard.state != ShardState::Open {
+        if shard.state != ShardState::Pending {
             return;
         }
         if was_sent {
-            self.recover(index, true);
+            self.retry(index, true);
         } else {
             shard.allowed = None;
             self.send_first(index);
--- a/crates/router/src/gather/ends.rs
+++ b/crates/router/src/gather/results.rs
@@ -4,32 +4,32 @@
 use eelgrasspier_decide::prelude::Verdict;
 
 use super::shard::ShardState;
-use super::{Gather, Landed, MOST_UNRUN_SENDS, ROOM_RETRY_MS};
+use super::{CONNECTION_RETRY_MS, Event, Gather, MAX_UNRUN_SENDS};
 use crate::backend::Reply;
 
 /// Part of the shards that are asked for once more for a late answer at the most, as a divisor:
 /// where more are missing the answer would take most of the work of a new one.
-const MOST_LATE_DIVISOR: usize = 16;
+const MAX_LATE_DIVISOR: usize = 16;
 
 impl Gather<'_> {
-    pub(super) fn take(&mut self, landed: Landed) {
-        match landed {
-            Landed::Send { shard, replica, result } => {
+    pub(super) fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Send { shard, replica, result } => {
                 self.shards[shard].in_flight -= 1;
                 match result {
-                    Ok(reply) if reply.status.is_success() => self.cover(shard, reply),
-                    Ok(reply) => self.take_failure(shard, &replica, reply),
-                    Err(failure) => self.take_loss(shard, &replica, &failure),
+                    Ok(reply) if reply.status.is_success() => self.mark_covered(shard, reply),
+                    Ok(reply) => self.on_replica_error(shard, &replica, reply),
+                    Err(failure) => self.on_send_error(shard, &replica, &failure),
                 }
             }
-            Landed::Relay(end) => self.take_relay(end),
-            Landed::Checked { peer, shards, is_alive } => {
-                self.take_check(&peer, &shards, is_alive);
+            Event::Relay(relay_result) => self.on_relay_result(relay_result),
+            Event::Probed { peer, shards, is_alive } => {
+                self.on_probe_result(&peer, &shards, is_alive);
             }
         }
     }
 
-    fn cover(&mut self, index: usize, reply: Reply) {
+    fn mark_covered(&mut self, index: usize, reply: Reply) {
         self.gathered.may_have_run = true;
         let shard = &mut self.shards[index];
         if shard.state != ShardState::Covered {
@@ -39,29 +39,29 @@
     }
 
     /// A replica's own failure: it ran the request.
-    fn take_failure(&mut self, index: usize, replica: &str, reply: Reply) {
-        self.note_failure(replica, index, "status", reply.status.as_str());
+    fn on_replica_error(&mut self, index: usize, replica: &str, reply: Reply) {
+        self.log_failure(replica, index, "status", reply.status.as_str());
         self.gathered.may_have_run = true;
         let is_final = reply.status.is_client_error() || !self.route.is_idempotent;
         self.gathered.failure = Some(reply);
         if is_final {
-            self.fail(index);
+            self.mark_failed(index);
         } else {
-            self.recover(index, true);
+            self.retry(index, true);
         }
     }
 
     /// No usable answer came.
-    fn take_loss(&mut self, index: usize, replica: &str, failure: &PartFailure) {
+    fn on_send_error(&mut self, index: usize, replica: &str, failure: &PartFailure) {
         if *failure == PartFailure::Crowded {
-            return self.wait_for_room(index, replica);
+            return self.schedule_connection_retry(index, replica);
         }
-        self.note_failure(replica, index, failure.kind(), &failure.to_string());
+        self.log_failure(replica, index, failure.kind(), &failure.to_string());
         let may_have_run = failure.verdict() == Verdict::MayHaveRun;
         self.gathered.may_have_run |= may_have_run;
         if !may_have_run {
             self.shards[index].not_run += 1;
-            self.trials.take_back(replica);
+            self.trials.retract(replica);
         }
         // A misdirected one reached another service.
         let is_arrival = !matches!(
@@ -69,55 +69,55 @@
             PartFailure::NotReached(_) | PartFailure::NotListening | PartFailure::Misdirected
         );
         if may_have_run && !self.route.is_idempotent {
-            self.fail(index);
+            self.mark_failed(index);
         } else {
-            self.recover(index, is_arrival);
+            self.retry(index, is_arrival);
         }
     }
 
     /// Others took the last connections first: looks again in a moment.
-    fn wait_for_room(&mut self, index: usize, replica: &str) {
-        let again_ms = self.router.shared.now_ms() + ROOM_RETRY_MS;
+    fn schedule_connection_retry(&mut self, index: usize, replica: &str) {
+        let again_ms = self.router.shared.now_ms() + CONNECTION_RETRY_MS;
         let shard = &mut self.shards[index];
         shard.tried.retain(|tried| **tried != *replica);
         shard.hedge_at_ms = Some(shard.hedge_at_ms.map_or(again_ms, |at| at.min(again_ms)));
     }
 
-    fn fail(&mut self, index: usize) {
+    fn mark_failed(&mut self, index: usize) {
         let shard = &mut self.shards[index];
-        if shard.state == ShardState::Open {
+        if shard.state == ShardState::Pending {
             shard.state = ShardState::Failed;
         }
     }
 
     /// Sends once more after a failed send; `is_arrival` if that one counts as sent.
-    pub(super) fn recover(&mut self, index: usize, is_arrival: bool) {
+    pub(super) fn retry(&mut self, index: usize, is_arrival: bool) {
         let shard = &self.shards[index];
-        let is_over = self.router.shared.now_ms() >= self.times.limit_at_ms;
-        if shard.state != ShardState::Open || is_over {
+        let is_over = self.router.shared.now_ms() >= self.deadlines.limit_at_ms;
+        if shard.state != ShardState::Pending || is_over {
             return;
         }
-        let most = self.route.attempts.max(1) + MOST_UNRUN_SENDS;
+        let most = self.route.attempts.max(1) + MAX_UNRUN_SENDS;
         let has_sent = if shard.tried.len() >= most {
             false
         } else if is_arrival {
-            self.send_again(index, "retry")
+            self.resend(index, "retry")
         } else {
             self.send(index)
         };
         if !has_sent {
-            self.settle_late(index);
+            self.mark_late_if_idle(index);
         }
     }
 
     /// A shard with nothing on its way can't be in time any more.
-    fn settle_late(&mut self, index: usize) {
-        let has_replica = self.open_replicas(&self.shards[index]).next().is_some();
-        if self.least == 0 || self.is_completed || !has_replica {
-            return self.settle(index);
+    fn mark_late_if_idle(&mut self, index: usize) {
+        let has_replica = self.eligible_replicas(&self.shards[index]).next().is_some();
+        if self.required_shards == 0 || self.has_retried_late || !has_replica {
+            return self.fail_if_idle(index);
         }
         let shard = &mut self.shards[index];
-        if shard.in_flight == 0 && shard.state == ShardState::Open {
+        if shard.in_flight == 0 && shard.state == ShardState::Pending {
             shard.state = ShardState::Late;
         }
     }
@@ -126,35 +126,36 @@
     ///
     /// Without it an answer that lacked one shard of 83 was given up at its target, with five
     /// times as long left: the caller tried again, and all shards worked for it a second time.
-    pub(super) fn complete_late(&mut self, now_ms: u64) {
+    pub(super) fn retry_late_shards(&mut self, now_ms: u64) {
         let count = |state| self.shards.iter().filter(|s| s.state == state).count();
         let [late, open, covered] =
-            [ShardState::Late, ShardState::Open, ShardState::Covered].map(count);
-        let is_due = open == 0 || now_ms >= self.times.target_at_ms;
-        if late == 0 || !is_due || covered >= self.least {
+            [ShardState::Late, ShardState::Pending, ShardState::Covered].map(count);
+        let is_due = open == 0 || now_ms >= self.deadlines.target_at_ms;
+        if late == 0 || !is_due || covered >= self.required_shards {
             return;
         }
-        self.is_completed = true;
-        let most = self.shards.len() / MOST_LATE_DIVISOR + 1;
-        let is_near = covered + open + late >= self.least && covered + open + most >= self.least;
+        self.has_retried_late = true;
+        let most = self.shards.len() / MAX_LATE_DIVISOR + 1;
+        let is_near = covered + open + late >= self.required_shards
+            && covered + open + most >= self.required_shards;
         for index in 0..self.shards.len() {
             if self.shards[index].state == ShardState::Late {
-                self.shards[index].state = ShardState::Open;
-                if !is_near || !self.send_late(index) {
-                    self.settle(index);
+                self.shards[index].state = ShardState::Pending;
+                if !is_near || !self.resend_late(index) {
+                    self.fail_if_idle(index);
                 }
             }
         }
     }
 
     /// A shard with nothing on its way has failed.
-    pub(super) fn settle(&mut self, index: usize) {
+    pub(super) fn fail_if_idle(&mut self, index: usize) {
         if self.shards[index].in_flight == 0 {
-            self.fail(index);
+            self.mark_failed(index);
         }
     }
 
-    fn note_failure(&self, replica: &str, shard: usize, kind: &'static str, cause: &str) {
+    fn log_failure(&self, replica: &str, shard: usize, kind: &'static str, cause: &str) {
         let id = self.request.id_text();
         let service = &self.shards[shard].service;
         let fingerprint = self.request.fingerprint();
--- a/crates/router/src/gather/shard.rs
+++ b/crates/router/src/gather/shard.rs
@@ -11,7 +11,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ShardState {
-    Open,
+    Pending,
     Covered,
     Failed,
     /// Not asked, since it would be late.
@@ -33,7 +33,7 @@
     /// Marks of the replicas that it may be sent to, where two instances send.
     pub(super) allowed: Option<Vec<u32>>,
     /// Whether a second instance was asked, since the first was lost.
-    pub(super) was_moved: bool,
+    pub(super) was_reassigned: bool,
     /// Sends and questions to other instances without an end.
     pub(super) in_flight: usize,
     pub(super) hedge_at_ms: Option<u64>,
@@ -48,10 +48,10 @@
             tried: Vec::new(),
             not_run: 0,
             allowed: None,
-            was_moved: false,
+            was_reassigned: false,
             in_flight: 0,
             hedge_at_ms: None,
-            state: ShardState::Open,
+            state: ShardState::Pending,
         }
     }
 
@@ -89,7 +89,7 @@
     /// When to come back, where it was refused before anything was sent.
     pub(crate) refused_ms: Option<u64>,
     /// For how long it is refused since replicas end under it, in milliseconds.
-    pub(crate) ends_replicas_ms: Option<u64>,
+    pub(crate) quarantined_ms: Option<u64>,
     /// Whether a replica may have run any of it.
     pub(crate) may_have_run: bool,
     /// Whether the time was over.
@@ -118,7 +118,7 @@
         if let Some(retry_after_ms) = self.refused_ms.filter(|_| !self.may_have_run) {
             return Refusal::not_run(RefusalReason::Overloaded, Some(retry_after_ms));
         }
-        if let Some(retry_after_ms) = self.ends_replicas_ms.filter(|_| !self.may_have_run) {
+        if let Some(retry_after_ms) = self.quarantined_ms.filter(|_| !self.may_have_run) {
             return Refusal::not_run(RefusalReason::EndsReplicas, Some(retry_after_ms));
         }
         let reason = match (self.is_timed_out, self.may_have_run) {
@@ -131,7 +131,7 @@
     }
 
     /// What it took, for the log.
-    pub(crate) fn effort(&self) -> String {
+    pub(crate) fn log_fields(&self) -> String {
         let Self { repeats, unpaid, far, cold, relays, .. } = self;
         let [missing, failed, left_out] =
             [&self.missing, &self.failed, &self.left_out].map(|shards| shards.join(","));
@@ -154,7 +154,7 @@
     /// Drops own parts of shards that are in a merged answer too.
     ///
     /// A merged answer can't be taken apart again, and a shard must not count twice.
-    pub(super) fn drop_doubles(&mut self) {
+    pub(super) fn drop_duplicates(&mut self) {
         let replies = std::mem::take(&mut self.replies);
         self.replies = replies.into_iter().filter(|(shard, _)| !self.has_merged(*shard)).collect();
     }
--- a/crates/router/src/losses.rs
+++ b/crates/router/src/losses.rs
@@ -16,28 +16,28 @@
     ///
     /// Only of a request that nobody has answered yet: one that was answered does not end
     /// replicas, and most losses are no end, so that few are looked into.
-    pub(crate) fn note_lost(self: &Rc<Self>, request: &Request, replica: &Arc<ReplicaEntry>) {
+    pub(crate) fn record_loss(self: &Rc<Self>, request: &Request, replica: &Arc<ReplicaEntry>) {
         if request.learnt.is_answered.get() {
             return;
         }
         let lost = Lost {
             request: request.fingerprint(),
             send: relays::mark(&format!("{} {}", request.id_text(), replica.id)),
-            is_tried: request.learnt.tried_alone.borrow().contains(&replica.id),
+            is_tried: request.learnt.isolated_trials.borrow().contains(&replica.id),
         };
-        let server = rendezvous::hash(&replica.id);
-        let known = self.losses.borrow_mut().add(server, lost, self.shared.now_ms());
+        let replica_hash = rendezvous::hash(&replica.id);
+        let known = self.losses.borrow_mut().add(replica_hash, lost, self.shared.now_ms());
         match known {
             Known::Unknown => {
                 let (router, replica) = (Rc::clone(self), Arc::clone(replica));
-                actix_rt::spawn(async move { router.check_loss(&replica).await });
+                actix_rt::spawn(async move { router.probe_lost_replica(&replica).await });
             }
-            Known::HasEnded(ended) => self.note_ended(ended),
+            Known::HasEnded(ended) => self.record_crash(ended),
             Known::Awaited | Known::Lives => {}
         }
     }
 
-    async fn check_loss(&self, replica: &Arc<ReplicaEntry>) {
+    async fn probe_lost_replica(&self, replica: &Arc<ReplicaEntry>) {
         let view = self.shared.view.load_full();
         let accepted = view.accepted_connections(&replica.service);
         let most = view.most_connections(&replica.zone, accepted);
@@ -47,8 +47,8 @@
             Err(_) => "unknown",
         };
         metrics::counter!("eelgrasspier_losses_checked_total", "listens" => listens).increment(1);
-        let (server, now_ms) = (rendezvous::hash(&replica.id), self.shared.now_ms());
-        let ended = self.losses.borrow_mut().resolve(server, listens == "no", now_ms);
+        let (replica_hash, now_ms) = (rendezvous::hash(&replica.id), self.shared.now_ms());
+        let ended = self.losses.borrow_mut().resolve(replica_hash, listens == "no", now_ms);
         let requests: Vec<String> = ended.iter().map(|e| e.request.to_string()).collect();
         log::info!(
             "event=loss_checked replica={} service={} listens={listens} fingerprints=[{}]",
@@ -57,7 +57,7 @@
             requests.join(",")
         );
         for ended in ended {
-            self.note_ended(ended);
+            self.record_crash(ended);
         }
     }
 }
--- a/crates/router/src/model.rs
+++ b/crates/router/src/model.rs
@@ -43,7 +43,7 @@
     /// Whether a replica has answered it, in whatever way: it does not end those that run it.
     pub(crate) is_answered: Cell<bool>,
     /// Replicas on which it was tried by itself, since others had ended under it.
-    pub(crate) tried_alone: RefCell<Vec<Arc<str>>>,
+    pub(crate) isolated_trials: RefCell<Vec<Arc<str>>>,
 }
 
 impl Request {
--- a/crates/router/src/outcome.rs
+++ b/crates/router/src/outcome.rs
@@ -11,17 +11,17 @@
 const NO_REPLICA_RETRY_MS: u64 = 300;
 
 /// The outcome of a request to one replica.
-pub(crate) fn hand_on(gathered: Gathered) -> Outcome {
+pub(crate) fn single_outcome(gathered: Gathered) -> Outcome {
     let refusal = gathered.refusal(NO_REPLICA_RETRY_MS);
     let reply = gathered.replies.into_iter().next().map(|(_, reply)| reply);
     reply.or(gathered.failure).map_or(Outcome::Refused(refusal), Outcome::Relayed)
 }
 
 /// The outcome of a request to `total` shards.
-pub(crate) fn merge(route: &Route, total: usize, gathered: Gathered) -> Outcome {
+pub(crate) fn merged_outcome(route: &Route, total: usize, gathered: Gathered) -> Outcome {
     let (covered, wanted) = (gathered.parts(), route.least_shards(total));
     if covered < wanted {
-        return Outcome::Refused(too_few(&gathered, covered, wanted));
+        return Outcome::Refused(coverage_refusal(&gathered, covered, wanted));
     }
     let mut greatest = Greatest::new(route.top_k);
     let mut signatures = Vec::with_capacity(total);
@@ -38,18 +38,18 @@
 }
 
 /// The refusal of a request of which too few shards are in.
-fn too_few(gathered: &Gathered, covered: usize, wanted: usize) -> Refusal {
+fn coverage_refusal(gathered: &Gathered, covered: usize, wanted: usize) -> Refusal {
     let refusal = gathered.refusal(NO_REPLICA_RETRY_MS);
     if refusal.reason != RefusalReason::AnswerLost {
         return refusal;
     }
-    let number = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-    let reason = RefusalReason::Coverage { covered: number(covered), wanted: number(wanted) };
+    let to_u32 = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
+    let reason = RefusalReason::Coverage { covered: to_u32(covered), wanted: to_u32(wanted) };
     Refusal { reason, ..refusal }
 }
 
 /// The cause of a refusal, as a label.
-fn cause(reason: &RefusalReason) -> &'static str {
+fn cause_label(reason: &RefusalReason) -> &'static str {
     match reason {
         RefusalReason::Overloaded => "overloaded",
         RefusalReason::Coverage { .. } => "coverage",
@@ -64,7 +64,7 @@
 }
 
 /// Writes the line of a request and counts it.
-pub(crate) fn note_outcome(request: &Request, route: &str, version: u64, outcome: &Outcome) {
+pub(crate) fn record_outcome(request: &Request, route: &str, version: u64, outcome: &Outcome) {
     let took = request.arrived.elapsed();
     let (name, detail) = match outcome {
         Outcome::Relayed(reply) => ("relayed", format!("status={}", reply.status.as_u16())),
@@ -72,13 +72,14 @@
             ("merged", format!("parts={} missing={}", merged.signatures.len(), merged.missing))
         }
         Outcome::Refused(refusal) => {
-            let wait = refusal.retry_after_ms.unwrap_or(0);
+            let retry_after_ms = refusal.retry_after_ms.unwrap_or(0);
             let Refusal { verdict, reason, .. } = refusal;
-            metrics::counter!("eelgrasspier_refused_total", "cause" => cause(reason)).increment(1);
+            metrics::counter!("eelgrasspier_refused_total", "cause" => cause_label(reason))
+                .increment(1);
             let fingerprint = request.fingerprint();
             let detail = format!(
                 "fingerprint={fingerprint} verdict={verdict} reason=\"{reason}\" \
-                 retry_after_ms={wait}"
+                 retry_after_ms={retry_after_ms}"
             );
             ("refused", detail)
         }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -15,16 +15,16 @@
 use prost::Message;
 use tokio::time::Instant;
 
-use crate::gather::{For, Gather, Gathered, Times};
+use crate::gather::{Deadlines, Gather, Gathered, Requester};
 use crate::model::{Learnt, Request};
 use crate::route_state::RouteState;
-use crate::router::{InProgress, PEER_SLOTS, Router, UNSOUND_PEER_COST, peer_key};
+use crate::router::{InFlightGuard, PEER_SLOTS, Router, UNHEALTHY_PEER_COST, peer_key};
 use crate::view::{Peer, View};
 use crate::zone_bytes::{self, Cause};
 
 /// Time after which a link without an answer is closed; a frozen instance is back within
 /// seconds, but a connection that has gone silent stays so.
-const LINK_PATIENCE: Duration = Duration::from_secs(1);
+const LINK_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Router {
     /// Whether this instance holds connections to its zone's replicas of a shard.
@@ -39,13 +39,13 @@
     }
 
     /// Instances that answered lately, or were not asked for a while.
-    pub(crate) fn sound_peers<'v>(&self, view: &'v View) -> Vec<&'v Peer> {
+    pub(crate) fn healthy_peers<'v>(&self, view: &'v View) -> Vec<&'v Peer> {
         let now_ms = self.shared.now_ms();
-        let is_sound = |p: &&Peer| {
+        let is_healthy = |p: &&Peer| {
             let standing = self.standing(&peer_key(&p.name));
-            standing.borrow().cost(PEER_SLOTS, now_ms) < UNSOUND_PEER_COST
+            standing.borrow().cost(PEER_SLOTS, now_ms) < UNHEALTHY_PEER_COST
         };
-        view.gatherers.iter().filter(is_sound).collect()
+        view.gatherers.iter().filter(is_healthy).collect()
     }
 
     /// The instance of a zone that is expected to answer first; `turn` breaks ties.
@@ -53,7 +53,7 @@
         &self,
         peers: &[&'v Peer],
         zone: &str,
-        turn: u64,
+        tie_breaker: u64,
     ) -> Option<&'v Peer> {
         let now_ms = self.shared.now_ms();
         let cost = |p: &Peer| self.standing(&peer_key(&p.name)).borrow().cost(PEER_SLOTS, now_ms);
@@ -61,36 +61,37 @@
         if near.is_empty() {
             return None;
         }
-        let start = usize::try_from(turn % near.len() as u64).unwrap_or(0);
+        let start = usize::try_from(tie_breaker % near.len() as u64).unwrap_or(0);
         near.rotate_left(start);
         near.into_iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))
     }
 
     /// Asks another instance and learns from how it ends.
-    pub(crate) async fn ask_peer(
+    pub(crate) async fn send_to_peer(
         self: Rc<Self>,
         peer: Peer,
-        question: Body,
+        peer_request: Body,
         time_left: Duration,
         state: Rc<RouteState>,
         offered: Offered,
     ) -> Result<wire::Gathered, PeerError> {
         let standing = self.standing(&peer_key(&peer.name));
-        let usual_ms = state.usual_relay_ms();
+        let typical_ms = state.typical_relay_ms();
         let started = Instant::now();
-        let in_progress = InProgress::start(&standing, self.shared.now_ms(), usual_ms);
-        let is_far = peer.zone != self.zone;
-        zone_bytes::count(Cause::Gather, is_far, question.encoded_len());
-        let result = self.links.ask_noting(peer.addr, question, time_left, || offered.mark()).await;
-        drop(in_progress);
+        let guard = InFlightGuard::start(&standing, self.shared.now_ms(), typical_ms);
+        let is_cross_zone = peer.zone != self.zone;
+        zone_bytes::count(Cause::Gather, is_cross_zone, peer_request.encoded_len());
+        let result =
+            self.links.ask_noting(peer.addr, peer_request, time_left, || offered.mark()).await;
+        drop(guard);
         let took = started.elapsed();
         metrics::histogram!("eelgrasspier_relay_seconds").record(took.as_secs_f64());
         match result {
             Ok(Body::Gathered(answer)) => {
-                zone_bytes::count(Cause::Gather, is_far, answer.encoded_len());
+                zone_bytes::count(Cause::Gather, is_cross_zone, answer.encoded_len());
                 let took_ms = took.as_secs_f64() * 1000.0;
-                standing.borrow_mut().answered(took_ms, usual_ms, self.shared.now_ms());
-                state.note_relay(took);
+                standing.borrow_mut().answered(took_ms, typical_ms, self.shared.now_ms());
+                state.record_relay(took);
                 Ok(answer)
             }
             Ok(other) => {
@@ -107,60 +108,63 @@
 
     /// Whether an instance answers at all.
     pub(crate) async fn is_alive(&self, peer: &Peer, timeout: Duration) -> bool {
-        let question = Body::Alive(wire::Nothing {});
+        let peer_request = Body::Alive(wire::Nothing {});
         // The link is kept: an answer that is late may still come on it.
-        let asking = self.links.ask(peer.addr, question, LINK_PATIENCE);
+        let asking = self.links.ask(peer.addr, peer_request, LINK_RESPONSE_TIMEOUT);
         matches!(tokio::time::timeout(timeout, asking).await, Ok(Ok(Body::Alive(_))))
     }
 
     /// Notes that an instance does not answer.
-    pub(crate) fn note_silent(&self, peer: &Peer) {
+    pub(crate) fn record_unresponsive(&self, peer: &Peer) {
         let standing = self.standing(&peer_key(&peer.name));
         standing.borrow_mut().failed(self.shared.now_ms());
     }
 
     /// Gathers shards for another instance and merges them.
-    pub async fn gather_for_peer(self: &Rc<Self>, question: wire::Gather) -> wire::Gathered {
-        if question.time_left_ms == 0 {
+    pub async fn gather_for_peer(self: &Rc<Self>, peer_request: wire::Gather) -> wire::Gathered {
+        if peer_request.time_left_ms == 0 {
             // It was held up on its way until the caller's time was over.
-            log::info!("event=question_too_late route={}", question.route);
+            log::info!("event=question_too_late route={}", peer_request.route);
             return wire::Gathered::default();
         }
         let now_ms = self.shared.now_ms();
-        let times = Times {
-            target_at_ms: now_ms + question.answer_within_ms,
-            limit_at_ms: now_ms + question.time_left_ms,
+        let deadlines = Deadlines {
+            target_at_ms: now_ms + peer_request.answer_within_ms,
+            limit_at_ms: now_ms + peer_request.time_left_ms,
         };
-        let services: Vec<Arc<str>> = question.services.iter().map(|s| s.as_str().into()).collect();
-        let route = Arc::new(to_route(&question, &services));
+        let services: Vec<Arc<str>> =
+            peer_request.services.iter().map(|s| s.as_str().into()).collect();
+        let route = Arc::new(to_route(&peer_request, &services));
         let top_k = route.top_k;
-        let allowed = question.allowed.chunks(route.attempts.max(1)).map(<[u32]>::to_vec).collect();
-        let is_whole = question.is_whole;
-        let own_misses = question.may_miss.saturating_sub(question.misses_of_others);
-        let whom = For::Peer {
-            is_repeat: question.is_repeat,
-            may_miss: usize::try_from(question.may_miss).unwrap_or(0),
-            may_leave_out: usize::try_from(own_misses).unwrap_or(0),
+        let allowed =
+            peer_request.allowed.chunks(route.attempts.max(1)).map(<[u32]>::to_vec).collect();
+        let is_whole = peer_request.is_whole;
+        let own_miss_budget = peer_request.may_miss.saturating_sub(peer_request.misses_of_others);
+        let requester = Requester::Peer {
+            is_repeat: peer_request.is_repeat,
+            may_miss: usize::try_from(peer_request.may_miss).unwrap_or(0),
+            may_leave_out: usize::try_from(own_miss_budget).unwrap_or(0),
             is_whole,
         };
-        self.take_reports(question.report.as_slice(), "question");
-        let Some(request) = to_request(question) else {
+        self.merge_reports(peer_request.report.as_slice(), "question");
+        let Some(request) = to_request(peer_request) else {
             log::warn!("event=relay_unreadable");
             return wire::Gathered::default();
         };
         let view = self.shared.view.load_full();
         let state = self.route_state(&route.name);
         let request = Rc::new(request);
-        let mut gather = Gather::new(self, &view, &route, state, &request, services.clone(), times);
-        gather.allow(allowed);
-        let gathered = gather.run(whom).await;
+        let mut gather =
+            Gather::new(self, &view, &route, state, &request, services.clone(), deadlines);
+        gather.restrict_replicas(allowed);
+        let gathered = gather.run(requester).await;
         metrics::counter!("eelgrasspier_relayed_total").increment(1);
         log::info!(
             "event=gathered_for_peer id={} route={} whole={is_whole} parts={} {} took_ms={}",
             request.id_text(),
             route.name,
             gathered.parts(),
-            gathered.effort(),
+            gathered.log_fields(),
             request.arrived.elapsed().as_millis()
         );
         let position = |name: &Arc<str>| services.iter().position(|s| s == name);
@@ -175,40 +179,40 @@
     }
 }
 
-fn to_route(question: &wire::Gather, services: &[Arc<str>]) -> Route {
-    let whole = |n: u32| usize::try_from(n).unwrap_or(usize::MAX);
+fn to_route(peer_request: &wire::Gather, services: &[Arc<str>]) -> Route {
+    let to_usize = |n: u32| usize::try_from(n).unwrap_or(usize::MAX);
     Route {
-        name: question.route.as_str().into(),
-        host: question.host.clone(),
+        name: peer_request.route.as_str().into(),
+        host: peer_request.host.clone(),
         path_prefix: String::new(),
         target: Target::Shards(services.into()),
         is_idempotent: true,
-        attempts: whole(question.attempts),
-        timeout_ms: question.time_left_ms,
-        target_latency_ms: question.target_latency_ms,
+        attempts: to_usize(peer_request.attempts),
+        timeout_ms: peer_request.time_left_ms,
+        target_latency_ms: peer_request.target_latency_ms,
         rank: 0,
-        top_k: whole(question.top_k),
+        top_k: to_usize(peer_request.top_k),
         least_share: 0.0,
-        home_regions: question.home_regions.iter().map(|r| r.as_str().into()).collect(),
+        home_regions: peer_request.home_regions.iter().map(|r| r.as_str().into()).collect(),
     }
 }
 
 /// The caller's request; `None` if it could never have come from a caller.
-fn to_request(question: wire::Gather) -> Option<Request> {
+fn to_request(peer_request: wire::Gather) -> Option<Request> {
     let mut headers = HeaderMap::new();
-    for wire::Header { name, value } in question.headers {
+    for wire::Header { name, value } in peer_request.headers {
         let name = HeaderName::from_bytes(name.as_bytes()).ok()?;
         headers.append(name, HeaderValue::from_maybe_shared(value).ok()?);
     }
     Some(Request {
-        id: HeaderValue::from_maybe_shared(question.request_id).ok()?,
-        method: Method::from_bytes(question.method.as_bytes()).ok()?,
-        host: question.host,
-        path: question.path.parse().ok()?,
+        id: HeaderValue::from_maybe_shared(peer_request.request_id).ok()?,
+        method: Method::from_bytes(peer_request.method.as_bytes()).ok()?,
+        host: peer_request.host,
+        path: peer_request.path.parse().ok()?,
         headers,
-        body: question.body,
+        body: peer_request.body,
         arrived: Instant::now(),
-        deadline_ms: Some(question.time_left_ms),
+        deadline_ms: Some(peer_request.time_left_ms),
         learnt: Learnt::default(),
     })
 }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -20,24 +20,24 @@
 use tokio::time::Instant;
 
 use crate::backend::{Attempt, Backend, Reply};
-use crate::cold::Cold;
-use crate::gather::{For, Gather, Times};
+use crate::cold::ColdLimiter;
+use crate::gather::{Deadlines, Gather, Requester};
 use crate::model::{Outcome, Request};
-use crate::outcome::{hand_on, merge, note_outcome};
-use crate::route_state::{Pace, RouteState};
+use crate::outcome::{merged_outcome, record_outcome, single_outcome};
+use crate::route_state::{RouteState, Timing};
 use crate::suspects::Suspects;
 use crate::view::{Shared, View};
 use crate::zone_bytes::{self, Cause};
 
 /// When to come back to an instance that knows no configuration yet, at first: one that
 /// finds the store up has read it within 30 ms.
-const LEAST_NOT_READY_RETRY_MS: u64 = 40;
+const MIN_NOT_READY_RETRY_MS: u64 = 40;
 /// The same, at most: it learns a configuration within a second of the store's return.
-const MOST_NOT_READY_RETRY_MS: u64 = 1_000;
+const MAX_NOT_READY_RETRY_MS: u64 = 1_000;
 /// Kept of the caller's deadline for the way to and from the caller and for merging.
 const DEADLINE_MARGIN_MS: u64 = 10;
 /// Cost, in multiples of the usual latency, from which another instance is not asked.
-pub(crate) const UNSOUND_PEER_COST: f64 = 4.0;
+pub(crate) const UNHEALTHY_PEER_COST: f64 = 4.0;
 /// Questions that another instance answers side by side without delay.
 pub(crate) const PEER_SLOTS: u32 = 8;
 /// Share of the target latency by which a replica in another zone must be expected to
@@ -46,11 +46,11 @@
 /// An answer that is in time anyway gains nothing by coming sooner, and bytes between zones
 /// are dear: with a fixed 1.5 times the usual latency in its place a quarter of all first
 /// sends crossed zones, mostly around a queue of one.
-const FAR_DIVISOR: f64 = 4.0;
+const CROSS_ZONE_PENALTY_DIVISOR: f64 = 4.0;
 
 /// State by a name that the store lists, so that nobody picks names that collide: each send
 /// looks up a dozen, and the standard hash took a twentieth of its instructions.
-type ByName<T> = HashMap<Arc<str>, T, foldhash::fast::RandomState>;
+type NameMap<T> = HashMap<Arc<str>, T, foldhash::fast::RandomState>;
 
 /// The traffic thread's state.
 pub struct Router {
@@ -61,14 +61,14 @@
     pub(crate) key: u64,
     pub(crate) links: Links,
     limits: Cell<RepeatLimits>,
-    pub(crate) standings: RefCell<ByName<Rc<RefCell<Standing>>>>,
+    pub(crate) standings: RefCell<NameMap<Rc<RefCell<Standing>>>>,
     /// Marks of replicas that other instances find slow, with when that was too long ago.
     pub(crate) slow_until_ms: RefCell<HashMap<u32, u64>>,
-    allowances: RefCell<ByName<Allowance>>,
+    retry_budgets: RefCell<NameMap<Allowance>>,
     routes: RefCell<HashMap<Arc<str>, Rc<RouteState>>>,
     pub(crate) losses: RefCell<Losses>,
     pub(crate) suspects: Suspects,
-    pub(crate) cold: Cold,
+    pub(crate) cold: ColdLimiter,
     regions: RefCell<Regions>,
 }
 
@@ -98,11 +98,11 @@
             limits: Cell::new(limits),
             standings: RefCell::default(),
             slow_until_ms: RefCell::default(),
-            allowances: RefCell::default(),
+            retry_budgets: RefCell::default(),
             routes: RefCell::default(),
             losses: RefCell::default(),
             suspects: Suspects::default(),
-            cold: Cold::default(),
+            cold: ColdLimiter::default(),
             regions: RefCell::default(),
         })
     }
@@ -119,22 +119,22 @@
         let view = self.shared.view.load_full();
         let version = view.configuration.as_ref().map_or(0, |c| c.version);
         let request = Rc::new(request);
-        let (route, outcome) = match self.find(&view, &request) {
+        let (route, outcome) = match self.resolve_route(&view, &request) {
             Ok(route) => {
-                let outcome = self.serve_on(&view, &route, &request).await;
+                let outcome = self.serve_route(&view, &route, &request).await;
                 (Arc::clone(&route.name), outcome)
             }
             Err(refusal) => ("-".into(), Outcome::Refused(refusal)),
         };
-        note_outcome(&request, &route, version, &outcome);
+        record_outcome(&request, &route, version, &outcome);
         outcome
     }
 
-    fn find(&self, view: &View, request: &Request) -> Result<Arc<Route>, Refusal> {
+    fn resolve_route(&self, view: &View, request: &Request) -> Result<Arc<Route>, Refusal> {
         if !view.is_ready() {
             // The longer it has lasted, the longer it is likely to last.
             let retry_after_ms =
-                (self.shared.now_ms() / 2).clamp(LEAST_NOT_READY_RETRY_MS, MOST_NOT_READY_RETRY_MS);
+                (self.shared.now_ms() / 2).clamp(MIN_NOT_READY_RETRY_MS, MAX_NOT_READY_RETRY_MS);
             return Err(Refusal::not_run(RefusalReason::NotReady, Some(retry_after_ms)));
         }
         let found = view.table.find(&request.host, request.path.path());
@@ -142,7 +142,7 @@
         found.cloned().ok_or_else(|| Refusal::not_run(RefusalReason::UnknownRoute(path()), None))
     }
 
-    async fn serve_on(
+    async fn serve_route(
         self: &Rc<Self>,
         view: &Arc<View>,
         route: &Arc<Route>,
@@ -151,25 +151,31 @@
         let state = self.route_state(&route.name);
         let services = match &route.target {
             Target::Service(service) => vec![Arc::clone(service)],
-            Target::Split(split) => state.dealer.borrow_mut().next(split).into_iter().collect(),
+            Target::Split(split) => state.splitter.borrow_mut().next(split).into_iter().collect(),
             Target::Shards(shards) => shards.to_vec(),
         };
         let total = services.len();
-        let times = self.times(view, route, &state, request);
-        let gather = Gather::new(self, view, route, state, request, services, times);
-        let gathered = gather.run(For::Caller).await;
-        log::info!("event=gathered id={} {}", request.id_text(), gathered.effort());
+        let deadlines = self.deadlines(view, route, &state, request);
+        let gather = Gather::new(self, view, route, state, request, services, deadlines);
+        let gathered = gather.run(Requester::Caller).await;
+        log::info!("event=gathered id={} {}", request.id_text(), gathered.log_fields());
         match &route.target {
-            Target::Shards(_) => merge(route, total, gathered),
-            Target::Service(_) | Target::Split(_) => hand_on(gathered),
+            Target::Shards(_) => merged_outcome(route, total, gathered),
+            Target::Service(_) | Target::Split(_) => single_outcome(gathered),
         }
     }
 
-    fn times(&self, view: &View, route: &Route, state: &RouteState, request: &Request) -> Times {
+    fn deadlines(
+        &self,
+        view: &View,
+        route: &Route,
+        state: &RouteState,
+        request: &Request,
+    ) -> Deadlines {
         let ago_ms = u64::try_from(request.arrived.elapsed().as_millis()).unwrap_or(0);
         let arrived_ms = self.shared.now_ms().saturating_sub(ago_ms);
         let deadline_ms = request.deadline_ms.unwrap_or(route.timeout_ms);
-        let spent_ms = state.spent_ms(deadline_ms);
+        let earlier_attempts_ms = state.earlier_attempts_ms(deadline_ms);
         let limit_ms = deadline_ms.min(route.timeout_ms);
         let margin_ms = DEADLINE_MARGIN_MS.min(limit_ms / 4);
         let target_ms = match &route.target {
@@ -178,10 +184,10 @@
             Target::Shards(_) => {
                 let target_ms = route.target_latency_ms;
                 let margin_ms = patience::margin_ms(target_ms, view.capacity_milli);
-                patience::time_ms(target_ms, spent_ms).saturating_sub(margin_ms)
+                patience::time_ms(target_ms, earlier_attempts_ms).saturating_sub(margin_ms)
             }
         };
-        Times {
+        Deadlines {
             target_at_ms: arrived_ms + target_ms,
             limit_at_ms: arrived_ms + limit_ms - margin_ms,
         }
@@ -217,56 +223,73 @@
     }
 
     /// Notes a request whose first send goes to `service`.
-    pub(crate) fn note_request(&self, service: &Arc<str>) {
+    pub(crate) fn record_request(&self, service: &Arc<str>) {
         let now_ms = self.shared.now_ms();
-        let mut allowances = self.allowances.borrow_mut();
-        allowances.entry(Arc::clone(service)).or_default().note_request(&self.limits.get(), now_ms);
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
+        retry_budgets
+            .entry(Arc::clone(service))
+            .or_default()
+            .note_request(&self.limits.get(), now_ms);
     }
 
     /// Time after which a second send may follow one to `replica`, in milliseconds.
-    pub(crate) fn hedge_after_ms(&self, view: &View, pace: &Pace, replica: &ReplicaEntry) -> u64 {
-        let wait_ms = Duration::from_secs_f64(self.expect(replica, pace, 0.0).wait_ms / 1000.0);
+    pub(crate) fn hedge_delay_ms(
+        &self,
+        view: &View,
+        timing: &Timing,
+        replica: &ReplicaEntry,
+    ) -> u64 {
+        let wait_ms = Duration::from_secs_f64(self.estimate(replica, timing, 0.0).wait_ms / 1000.0);
         let wait_ms = u64::try_from(wait_ms.as_millis()).unwrap_or(u64::MAX);
         let service = &replica.service;
         let now_ms = self.shared.now_ms();
-        let mut allowances = self.allowances.borrow_mut();
-        let allowance = allowances.entry(Arc::clone(service)).or_default();
-        let is_scarce = allowance.is_scarce(&self.limits.get(), view.slack_sharers, now_ms);
-        wait_ms + if is_scarce { pace.scarce_hedge_ms } else { pace.hedge_ms }
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
+        let retry_budget = retry_budgets.entry(Arc::clone(service)).or_default();
+        let is_scarce = retry_budget.is_scarce(&self.limits.get(), view.slack_sharers, now_ms);
+        wait_ms + if is_scarce { timing.low_budget_hedge_delay_ms } else { timing.hedge_delay_ms }
     }
 
     /// Takes one second send to `service` from the budget, if there is one.
-    pub(crate) fn take_repeat(&self, service: &Arc<str>, view: &View) -> bool {
+    pub(crate) fn try_take_retry(&self, service: &Arc<str>, view: &View) -> bool {
         let now_ms = self.shared.now_ms();
-        let mut allowances = self.allowances.borrow_mut();
-        let allowance = allowances.entry(Arc::clone(service)).or_default();
-        allowance.take(&self.limits.get(), view.slack_sharers, now_ms)
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
+        let retry_budget = retry_budgets.entry(Arc::clone(service)).or_default();
+        retry_budget.take(&self.limits.get(), view.slack_sharers, now_ms)
     }
 
     /// Expected latency of one more request in milliseconds, with what crossing zones costs.
-    pub(crate) fn cost_ms(&self, replica: &ReplicaEntry, pace: &Pace, spent: f64) -> f64 {
-        let far_ms = if replica.zone == self.zone { 0.0 } else { pace.target_ms / FAR_DIVISOR };
-        self.expect(replica, pace, spent).cost_ms + far_ms
+    pub(crate) fn cost_ms(&self, replica: &ReplicaEntry, timing: &Timing, budget_used: f64) -> f64 {
+        let cross_zone_ms = if replica.zone == self.zone {
+            0.0
+        } else {
+            timing.target_ms / CROSS_ZONE_PENALTY_DIVISOR
+        };
+        self.estimate(replica, timing, budget_used).cost_ms + cross_zone_ms
     }
 
     /// Part of the budget for repeats of a service that is spent, from 0 to 1.
-    pub(crate) fn spent(&self, service: &Arc<str>, view: &View) -> f64 {
+    pub(crate) fn retry_budget_used(&self, service: &Arc<str>, view: &View) -> f64 {
         let now_ms = self.shared.now_ms();
-        let mut allowances = self.allowances.borrow_mut();
-        let allowance = allowances.entry(Arc::clone(service)).or_default();
-        allowance.spent(&self.limits.get(), view.slack_sharers, now_ms)
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
+        let retry_budget = retry_budgets.entry(Arc::clone(service)).or_default();
+        retry_budget.spent(&self.limits.get(), view.slack_sharers, now_ms)
     }
 
     /// What is expected of one more request to a replica.
-    pub(crate) fn expect(&self, replica: &ReplicaEntry, pace: &Pace, spent: f64) -> Expected {
+    pub(crate) fn estimate(
+        &self,
+        replica: &ReplicaEntry,
+        timing: &Timing,
+        budget_used: f64,
+    ) -> Estimate {
         let now_ms = self.shared.now_ms();
         let standing = self.standing(&replica.id);
         let standing = standing.borrow();
-        let answer_ms = standing.answer_ms(pace.usual_ms, replica.slots, now_ms);
-        Expected {
+        let answer_ms = standing.answer_ms(timing.typical_ms, replica.slots, now_ms);
+        Estimate {
             answer_ms,
-            cost_ms: answer_ms + pace.usual_ms * standing.doubt(spent, now_ms),
-            wait_ms: standing.wait_ms(pace.usual_ms, replica.slots, now_ms),
+            cost_ms: answer_ms + timing.typical_ms * standing.doubt(budget_used, now_ms),
+            wait_ms: standing.wait_ms(timing.typical_ms, replica.slots, now_ms),
         }
     }
 
@@ -283,11 +306,11 @@
         let started = Instant::now();
         let sent_ms = self.shared.now_ms();
         let expected_ms = standing.borrow_mut().sent_work(work_ms, replica.slots, sent_ms);
-        let in_progress = InProgress { standing: Rc::clone(&standing), sent_ms };
-        let is_far = replica.zone != self.zone;
-        zone_bytes::count(Cause::Replica, is_far, attempt.request.body.len());
+        let guard = InFlightGuard { standing: Rc::clone(&standing), sent_ms };
+        let is_cross_zone = replica.zone != self.zone;
+        zone_bytes::count(Cause::Replica, is_cross_zone, attempt.request.body.len());
         let result = self.backend.send(attempt).await;
-        drop(in_progress);
+        drop(guard);
         self.end_trial(&request, &replica);
         let took = started.elapsed();
         metrics::histogram!("eelgrasspier_part_seconds").record(took.as_secs_f64());
@@ -295,8 +318,8 @@
         let mut standing = standing.borrow_mut();
         match &result {
             Ok(reply) => {
-                self.note_answered(&request);
-                zone_bytes::count(Cause::Replica, is_far, reply.body.len());
+                self.record_answered(&request);
+                zone_bytes::count(Cause::Replica, is_cross_zone, reply.body.len());
                 // A replica counts the request that it is answering.
                 standing.reported(reply.load.unwrap_or(0).saturating_sub(1), now_ms);
                 if reply.status.is_server_error() {
@@ -305,7 +328,7 @@
                     standing.answered(took.as_secs_f64() * 1000.0, expected_ms, now_ms);
                     // Without the part of it that the queue accounts for.
                     let worked = took.mul_f64(work_ms / expected_ms.max(work_ms));
-                    state.note_exchange(worked, now_ms);
+                    state.record_exchange(worked, now_ms);
                 }
             }
             Err(PartFailure::Shed(report)) => {
@@ -321,7 +344,7 @@
             Err(failure) => {
                 standing.failed(now_ms);
                 if matches!(failure, PartFailure::Lost(_)) {
-                    self.note_lost(&request, &replica);
+                    self.record_loss(&request, &replica);
                 }
             }
         }
@@ -336,7 +359,7 @@
 
 /// What is expected of one more request to a replica, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Expected {
+pub(crate) struct Estimate {
     /// Time to its answer, by the replica's queue and speed.
     pub(crate) answer_ms: f64,
     /// The same, with a charge for failures and silence.
@@ -346,19 +369,19 @@
 }
 
 /// A request in progress at a replica, until dropped.
-pub(crate) struct InProgress {
+pub(crate) struct InFlightGuard {
     standing: Rc<RefCell<Standing>>,
     sent_ms: u64,
 }
 
-impl InProgress {
-    pub(crate) fn start(standing: &Rc<RefCell<Standing>>, now_ms: u64, usual_ms: f64) -> Self {
-        standing.borrow_mut().sent(now_ms, usual_ms);
+impl InFlightGuard {
+    pub(crate) fn start(standing: &Rc<RefCell<Standing>>, now_ms: u64, typical_ms: f64) -> Self {
+        standing.borrow_mut().sent(now_ms, typical_ms);
         Self { standing: Rc::clone(standing), sent_ms: now_ms }
     }
 }
 
-impl Drop for InProgress {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.standing.borrow_mut().ended(self.sent_ms);
     }
--- a/crates/router/src/suspects.rs
+++ b/crates/router/src/suspects.rs
@@ -19,15 +19,15 @@
 
 /// Time after which others are told of a single replica that has ended under a request: mostly
 /// it is answered by another replica before, and nothing is told of it.
-const TELL_AFTER: Duration = Duration::from_millis(25);
+const REPORT_DELAY: Duration = Duration::from_millis(25);
 
 /// Requests under which replicas have ended.
 #[derive(Debug, Default)]
 pub(crate) struct Suspects {
     quarantine: RefCell<Quarantine>,
     /// Those of which others have not been told the latest.
-    news: RefCell<BTreeSet<Fingerprint>>,
-    has_news: Notify,
+    pending_reports: RefCell<BTreeSet<Fingerprint>>,
+    report_notify: Notify,
     /// Whether others are to be told at once: a caller whose request has failed comes to another
     /// instance within milliseconds, and then it must be known there.
     is_urgent: Cell<bool>,
@@ -45,7 +45,7 @@
     }
 
     /// Notes that a replica has answered a request.
-    pub(crate) fn note_answered(&self, request: &Request) {
+    pub(crate) fn record_answered(&self, request: &Request) {
         if request.learnt.is_answered.replace(true) {
             return;
         }
@@ -53,22 +53,22 @@
         self.losses.borrow_mut().answered(fingerprint);
         let now_ms = self.shared.now_ms();
         let finding = self.suspects.quarantine.borrow_mut().note_answered(fingerprint, now_ms);
-        self.note_finding(fingerprint, finding);
+        self.publish_finding(fingerprint, finding);
     }
 
     /// Notes that a replica has ended while it ran a request.
-    pub(crate) fn note_ended(&self, ended: Ended) {
+    pub(crate) fn record_crash(&self, ended: Ended) {
         let now_ms = self.shared.now_ms();
         let finding = self.suspects.quarantine.borrow_mut().note_ended(ended, now_ms);
-        self.note_finding(ended.request, finding);
+        self.publish_finding(ended.request, finding);
     }
 
     /// Takes in what other instances know; `source` says how it came.
-    pub(crate) fn take_reports(&self, reports: &[Report], source: &str) {
+    pub(crate) fn merge_reports(&self, reports: &[Report], source: &str) {
         for report in reports {
             let fingerprint = Fingerprint(report.fingerprint);
             let finding = self.suspects.quarantine.borrow_mut().merge(report, self.shared.now_ms());
-            self.write_finding(fingerprint, finding, source);
+            self.log_finding(fingerprint, finding, source);
         }
     }
 
@@ -78,14 +78,14 @@
         &self,
         request: &Request,
         replica: &ReplicaEntry,
-        most_ms: u64,
+        max_ms: u64,
     ) -> bool {
         let (fingerprint, now_ms) = (request.fingerprint(), self.shared.now_ms());
         let mut quarantine = self.suspects.quarantine.borrow_mut();
-        if !quarantine.begin_trial(fingerprint, now_ms, most_ms) {
+        if !quarantine.begin_trial(fingerprint, now_ms, max_ms) {
             return false;
         }
-        request.learnt.tried_alone.borrow_mut().push(Arc::clone(&replica.id));
+        request.learnt.isolated_trials.borrow_mut().push(Arc::clone(&replica.id));
         let id = request.id_text();
         metrics::counter!("eelgrasspier_trials_total").increment(1);
         log::info!("event=tried_alone id={id} fingerprint={fingerprint} replica={}", replica.id);
@@ -94,24 +94,24 @@
 
     /// Notes the end of a send that may have been such a trial.
     pub(crate) fn end_trial(&self, request: &Request, replica: &ReplicaEntry) {
-        if request.learnt.tried_alone.borrow().contains(&replica.id) {
+        if request.learnt.isolated_trials.borrow().contains(&replica.id) {
             self.suspects.quarantine.borrow_mut().end_trial(request.fingerprint());
         }
     }
 
     /// Writes down what was found out here, and has others told.
-    fn note_finding(&self, fingerprint: Fingerprint, finding: Finding) {
-        self.write_finding(fingerprint, finding, "own");
+    fn publish_finding(&self, fingerprint: Fingerprint, finding: Finding) {
+        self.log_finding(fingerprint, finding, "own");
         if matches!(finding, Finding::Suspected | Finding::Refused) {
             self.suspects.is_urgent.set(true);
         }
         if finding != Finding::Unchanged {
-            self.suspects.news.borrow_mut().insert(fingerprint);
-            self.suspects.has_news.notify_one();
+            self.suspects.pending_reports.borrow_mut().insert(fingerprint);
+            self.suspects.report_notify.notify_one();
         }
     }
 
-    fn write_finding(&self, fingerprint: Fingerprint, finding: Finding, source: &str) {
+    fn log_finding(&self, fingerprint: Fingerprint, finding: Finding, source: &str) {
         let event = match finding {
             Finding::Unchanged | Finding::Noted => return,
             Finding::Suspected => "event=suspected",
@@ -123,14 +123,14 @@
         let Report { refused_ms, refusals, .. } = report;
         let label = event.trim_start_matches("event=");
         metrics::counter!("eelgrasspier_suspects_total", "finding" => label).increment(1);
-        metrics::gauge!("eelgrasspier_suspects").set(self.remembered());
+        metrics::gauge!("eelgrasspier_suspects").set(self.tracked_count());
         log::info!(
             "{event} fingerprint={fingerprint} ended={ended} ended_alone={alone} \
              refused_ms={refused_ms} refusals={refusals} source={source}"
         );
     }
 
-    fn remembered(&self) -> f64 {
+    fn tracked_count(&self) -> f64 {
         let count = self.suspects.quarantine.borrow().len();
         f64::from(u32::try_from(count).unwrap_or(u32::MAX))
     }
@@ -138,17 +138,17 @@
     /// Tells the control thread what was found out, for as long as that runs.
     pub(crate) async fn tell_findings(self: Rc<Self>, control: mpsc::UnboundedSender<Ask>) {
         loop {
-            self.suspects.has_news.notified().await;
-            let until = Instant::now() + TELL_AFTER;
+            self.suspects.report_notify.notified().await;
+            let until = Instant::now() + REPORT_DELAY;
             while !self.suspects.is_urgent.get() {
-                let more = tokio::time::timeout_at(until, self.suspects.has_news.notified());
+                let more = tokio::time::timeout_at(until, self.suspects.report_notify.notified());
                 if more.await.is_err() {
                     break;
                 }
             }
             self.suspects.is_urgent.set(false);
-            let news = std::mem::take(&mut *self.suspects.news.borrow_mut());
-            let reports = news.into_iter().filter_map(|f| self.report_on(f)).collect();
+            let pending_reports = std::mem::take(&mut *self.suspects.pending_reports.borrow_mut());
+            let reports = pending_reports.into_iter().filter_map(|f| self.report_on(f)).collect();
             if control.send(Ask::Tell(reports)).is_err() {
                 return;
             }
@@ -158,10 +158,10 @@
     /// Takes in what the control thread hears from other instances, for as long as that runs.
     pub(crate) async fn hear_findings(
         self: Rc<Self>,
-        mut told: mpsc::UnboundedReceiver<Vec<Report>>,
+        mut reports_rx: mpsc::UnboundedReceiver<Vec<Report>>,
     ) {
-        while let Some(reports) = told.recv().await {
-            self.take_reports(&reports, "gossip");
+        while let Some(reports) = reports_rx.recv().await {
+            self.merge_reports(&reports, "gossip");
         }
     }
 }
--- a/crates/router/src/told.rs
+++ b/crates/router/src/told.rs
@@ -12,20 +12,20 @@
 
 /// Cost, in multiples of the usual latency, from which a replica is called slow: an idle one
 /// costs 1, one with both slots in use 2, one that is four times slower or fails more.
-const SLOW_COST: f64 = 3.0;
+const SLOW_COST_RATIO: f64 = 3.0;
 /// Time for which a replica counts as slow after another instance has said so, in
 /// milliseconds: each shard is asked for some tens of times a second, and a pause lasts 100.
-const SLOW_LIFE_MS: u64 = 300;
+const SLOW_MARK_TTL_MS: u64 = 300;
 
 /// Ratio from which a replica's is told to others; less is within what answers vary by.
-const LEAST_TOLD_RATIO: f64 = 1.5;
+const MIN_REPORTED_RATIO: f64 = 1.5;
 /// A small figure, rounded.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "a cast to an integer keeps to its range, and none of these is negative"
 )]
-fn whole(figure: f64) -> u32 {
+fn rounded(figure: f64) -> u32 {
     figure.round() as u32
 }
 
@@ -37,11 +37,11 @@
         let busy = |replica: &Arc<ReplicaEntry>| {
             let standing = standings.get(&replica.id)?.borrow();
             let (load, ratio) = (standing.load(now_ms), standing.ratio(now_ms));
-            let is_busy = load >= f64::from(replica.slots) || ratio >= LEAST_TOLD_RATIO;
+            let is_busy = load >= f64::from(replica.slots) || ratio >= MIN_REPORTED_RATIO;
             is_busy.then_some(wire::Busy {
                 mark: relays::mark(&replica.id),
-                load: whole(load),
-                ratio_tenths: whole(ratio * 10.0),
+                load: rounded(load),
+                ratio_tenths: rounded(ratio * 10.0),
             })
         };
         let listed = services.iter().filter_map(|s| view.replicas.get(s)).flatten();
@@ -49,7 +49,7 @@
     }
 
     /// Notes what another instance knows of the replicas of some services.
-    pub(crate) fn note_busy<'s>(
+    pub(crate) fn record_busy<'s>(
         &self,
         view: &View,
         services: impl Iterator<Item = &'s Arc<str>>,
@@ -61,9 +61,10 @@
         let now_ms = self.shared.now_ms();
         for replica in services.filter_map(|s| view.replicas.get(s)).flatten() {
             let mark = relays::mark(&replica.id);
-            let Some(told) = busy.iter().find(|b| b.mark == mark) else { continue };
-            let told = Told { load: told.load, ratio: f64::from(told.ratio_tenths) / 10.0 };
-            self.standing(&replica.id).borrow_mut().told(told, now_ms);
+            let Some(reported) = busy.iter().find(|b| b.mark == mark) else { continue };
+            let reported =
+                Told { load: reported.load, ratio: f64::from(reported.ratio_tenths) / 10.0 };
+            self.standing(&replica.id).borrow_mut().told(reported, now_ms);
         }
     }
 
@@ -73,18 +74,18 @@
         let standings = self.standings.borrow();
         let is_slow = |replica: &&Arc<ReplicaEntry>| {
             let standing = standings.get(&replica.id);
-            standing.is_some_and(|s| s.borrow().cost(replica.slots, now_ms) > SLOW_COST)
+            standing.is_some_and(|s| s.borrow().cost(replica.slots, now_ms) > SLOW_COST_RATIO)
         };
         let listed = services.iter().filter_map(|s| view.replicas.get(s)).flatten();
         listed.filter(is_slow).map(|r| relays::mark(&r.id)).collect()
     }
 
     /// Notes which replicas another instance finds slow.
-    pub(crate) fn note_slow(&self, marks: &[u32]) {
+    pub(crate) fn record_slow(&self, marks: &[u32]) {
         let now_ms = self.shared.now_ms();
         let mut slow = self.slow_until_ms.borrow_mut();
         slow.retain(|_, until_ms| *until_ms > now_ms);
-        slow.extend(marks.iter().map(|&mark| (mark, now_ms + SLOW_LIFE_MS)));
+        slow.extend(marks.iter().map(|&mark| (mark, now_ms + SLOW_MARK_TTL_MS)));
     }
 
     /// Whether another instance has lately found a replica slow.
--- a/crates/router/src/zone_bytes.rs
+++ b/crates/router/src/zone_bytes.rs
@@ -1,25 +1,25 @@
-//! Bytes between instances and replicas, by cause, and whether they cross zones.
+//! Counts bytes between instances and replicas by cause and by whether they cross zones.
 //!
-//! Those between zones are dear, and which of them are worth less than they cost shows only where
-//! they are counted apart. Contents are counted, without the headers of the network's protocols.
+//! Traffic between zones is expensive, and separate counters show which causes are worth it. Only
+//! payloads are counted, without protocol headers.
 
-/// What bytes are for.
+/// Cause of traffic.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Cause {
-    /// Datagrams of membership.
+    /// Membership datagrams.
     Gossip,
-    /// Questions to other instances and their answers, for callers' requests.
+    /// Relay requests between instances for callers' requests, and the answers.
     Gather,
-    /// Changes of the configuration and of replicas' entries.
+    /// Changes of the configuration and of replica entries.
     Changes,
-    /// Records of all instances, for one that starts.
+    /// Records of all instances, sent to an instance that starts.
     Members,
-    /// Bodies to and from replicas.
+    /// Request and response bodies of replicas.
     Replica,
 }
 
 impl Cause {
-    fn name(self) -> &'static str {
+    fn label(self) -> &'static str {
         match self {
             Self::Gossip => "gossip",
             Self::Gather => "gather",
@@ -30,10 +30,10 @@
     }
 }
 
-/// Counts `bytes`, which cross zones if `is_far`.
-pub(crate) fn count(cause: Cause, is_far: bool, bytes: usize) {
-    let zone = if is_far { "other" } else { "own" };
+/// Adds `bytes` to the counter of the cause.
+pub(crate) fn count(cause: Cause, is_cross_zone: bool, bytes: usize) {
+    let zone = if is_cross_zone { "other" } else { "own" };
     let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
-    metrics::counter!("eelgrasspier_zone_bytes_total", "cause" => cause.name(), "zone" => zone)
+    metrics::counter!("eelgrasspier_zone_bytes_total", "cause" => cause.label(), "zone" => zone)
         .increment(bytes);
 }
