--- a/crates/router/src/cold.rs
+++ b/crates/router/src/cold.rs
@@ -1,4 +1,4 @@
-//! Sends to replicas that are cold: who keeps count of them, and who may send.
+//! Rate limit for cold replicas: which instance counts their requests, and who may send.
 
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
@@ -12,42 +12,42 @@
 use crate::router::Router;
 use crate::view::{Peer, View};
 
-/// Time for a keeper's answer: some ways there and back within a region.
+/// Timeout for a permission from the owner; it allows for several round trips within a region.
 const COLD_SEND_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// What this instance has let out to cold replicas.
+/// Rate limiter for requests to cold replicas.
 #[derive(Debug, Default)]
 pub(crate) struct ColdLimiter {
     bounds: Cell<ColdBounds>,
     windows: RefCell<Windows>,
 }
 
-/// Whether a request may go to a replica.
+/// Permission to send a request to a replica that may be cold.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum ColdAdmission {
-    /// It is warm, or nothing bounds what it gets.
+    /// The replica is warm or has no rate limit.
     Unlimited,
-    /// It is cold and counted here, and may get one more in this second.
+    /// The replica is cold, this instance counts its requests, and it is below the limit.
     CountedHere,
-    /// It is cold, and this other instance counts.
+    /// The replica is cold, and the given instance counts its requests.
     AskOwner(Peer),
-    /// It is cold and has got enough, or it is not sure that nobody else counts.
+    /// The replica is at its limit, or another instance may be counting its requests as well.
     Denied,
 }
 
 impl Router {
-    /// Puts other bounds for cold replicas in force.
+    /// Replaces the limits for cold replicas.
     pub fn set_cold_bounds(&self, bounds: ColdBounds) {
         self.cold.bounds.set(bounds);
     }
 
-    /// Whether a replica is cold, where what it gets is bounded.
+    /// True if a replica is cold, so that its rate of requests is limited.
     pub(crate) fn is_cold(&self, view: &View, replica: &ReplicaEntry) -> bool {
         let until_ms = view.cold_until_ms.get(&replica.id);
         until_ms.is_some_and(|&until_ms| until_ms > self.shared.now_ms())
     }
 
-    /// Whether a request may go to a replica now.
+    /// Checks whether a request may be sent to a replica now.
     pub(crate) fn cold_admission(&self, view: &View, replica: &ReplicaEntry) -> ColdAdmission {
         if !self.is_cold(view, replica) {
             return ColdAdmission::Unlimited;
@@ -70,7 +70,7 @@
         let mut is_candidate = view.is_gatherer && self.zone == replica.zone;
         let mut zone = Some(&*replica.zone);
         if near.is_empty() && !is_candidate {
-            // All of the zone are lost; the others stand in for them.
+            // All instances of the zone are lost; those of the other zones take over.
             near = view.gatherers.iter().collect();
             (is_candidate, zone) = (view.is_gatherer, None);
         }
@@ -94,14 +94,14 @@
         }
     }
 
-    /// Requests in a second that one keeper lets out to a cold replica; `None` without a bound.
+    /// Returns the requests per second that one owner grants a cold replica; `None` if unlimited.
     fn cold_share(&self, view: &View, replica: &ReplicaEntry) -> Option<usize> {
         let services = &view.configuration.as_ref()?.services;
         let rate_milli = services.get(&replica.service)?.cold_rate_milli;
         cold::share(rate_milli, self.cold.bounds.get())
     }
 
-    /// Counts one request to a cold replica that is counted here; false if it has got enough.
+    /// Counts one request to a cold replica; returns false if the limit has been reached.
     pub(crate) fn try_take_cold_send(&self, view: &View, replica: &ReplicaEntry) -> bool {
         let Some(share) = self.cold_share(view, replica) else { return true };
         let now_ms = self.shared.now_ms();
@@ -110,7 +110,7 @@
         is_taken
     }
 
-    /// Asks the keeper of a cold replica whether a request may go there.
+    /// Asks the owner of a cold replica for permission to send a request there.
     pub(crate) async fn request_cold_send(
         &self,
         owner: &Peer,
@@ -133,15 +133,15 @@
         is_allowed
     }
 
-    /// Answers another instance that is about to send to a cold replica.
+    /// Answers another instance that wants to send a request to a cold replica.
     pub(crate) fn allow_cold_send(&self, peer_request: &ColdSend) -> bool {
         let view = self.shared.view.load_full();
         let listed = view.replicas.get(peer_request.service.as_str());
         let replica = listed.and_then(|all| all.iter().find(|r| *r.id == *peer_request.replica));
-        // One that is not listed here may be new: what is not counted is not let out.
+        // An unlisted replica may be new, and a send that can't be counted is denied.
         let Some(replica) = replica else { return false };
         match self.cold_admission(&view, replica) {
-            // It has turned warm meanwhile.
+            // The replica has become warm in the meantime.
             ColdAdmission::Unlimited => true,
             ColdAdmission::CountedHere => self.try_take_cold_send(&view, replica),
             ColdAdmission::AskOwner(_) | ColdAdmission::Denied => {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Forgets what was sent to cold replicas longer ago than it counts.
+    /// Drops counts that are older than the rate limit's window.
     pub(crate) fn tidy_cold(&self) {
         self.cold.windows.borrow_mut().tidy(self.shared.now_ms());
     }
--- a/crates/router/src/gather/admission.rs
+++ b/crates/router/src/gather/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request is begun, and which of its shards are left out.
+//! Admission control: whether a request is started and which of its shards are left out.
 
 use eelgrasspier_decide::admission::{Plan, plan_part};
 
@@ -6,7 +6,7 @@
 use super::shard::{Shard, ShardState};
 
 impl Gather<'_> {
-    /// Leaves out shards that would be late; false if the request is refused instead.
+    /// Leaves out shards that would be late; returns false if the request is refused.
     pub(super) fn admit(&mut self) -> bool {
         let may_miss = self.shards.len() - self.required_shards;
         let Some(retry_after_ms) = self.plan(may_miss, may_miss) else { return true };
@@ -14,9 +14,10 @@
         false
     }
 
-    /// The same for shards that another instance asks for; false if none of them is sent.
+    /// Does the same for shards relayed by another instance; returns false if nothing is sent.
     ///
-    /// The asking instance goes by what it was told with earlier answers, and that is older.
+    /// The requesting instance plans with load reports from earlier answers, which are older than
+    /// the data here.
     pub(super) fn admit_for_peer(&mut self, may_miss: usize, may_leave_out: usize) -> bool {
         self.gathered.refused_ms = self.plan(may_miss, may_leave_out);
         let is_started = self.gathered.refused_ms.is_none();
@@ -26,7 +27,7 @@
         is_started
     }
 
-    /// When to come back, if more shards would be late than may be left out.
+    /// Leaves out late shards; returns the retry delay if there are more than may be left out.
     fn plan(&mut self, may_miss: usize, may_leave_out: usize) -> Option<u64> {
         let now_ms = self.router.shared.now_ms();
         let left_ms = self.deadlines.target_at_ms.saturating_sub(now_ms);
@@ -53,17 +54,18 @@
         }
     }
 
-    /// Shards that may still be left out.
+    /// Returns the number of shards that may still be missed.
     pub(super) fn may_miss(&self) -> usize {
         let is_lost = |s: &&Shard| matches!(s.state, ShardState::Failed | ShardState::LeftOut);
         let lost = self.shards.iter().filter(is_lost).count();
         (self.shards.len() - lost).saturating_sub(self.required_shards)
     }
 
-    /// Time after which a shard is expected to answer, in milliseconds, by its best replica.
+    /// Returns the expected time until a shard's best replica answers, in milliseconds.
     ///
-    /// Failures and silence count only where they say "not in time at all": a shard that is asked
-    /// in spite of a little doubt mostly answers, while one that is left out never does.
+    /// Recent failures and missing answers count only if they put the replica past the limit: a
+    /// shard that is sent despite a small penalty usually answers, while one that is left out never
+    /// does.
     fn answer_ms(&self, index: usize, left_ms: f64) -> f64 {
         let service = &self.shards[index].service;
         let budget_used = self.router.retry_budget_used(service, self.view);
--- a/crates/router/src/gather/mod.rs
+++ b/crates/router/src/gather/mod.rs
@@ -1,4 +1,4 @@
-//! Gathers the answers of the shards of one request: first sends, second sends, the end.
+//! Scatter-gather of one request: first sends, hedges, retries and completion.
 
 mod admission;
 mod quarantine;
@@ -31,40 +31,41 @@
 
 pub(crate) use shard::{Gathered, MergedParts};
 
-/// Time between two looks for a free connection, in milliseconds: about half of a usual
-/// exchange, after which one is free.
+/// Interval at which a shard without a free connection is tried again, in milliseconds.
+///
+/// It is about half of a typical exchange, after which a connection is free.
 const CONNECTION_RETRY_MS: u64 = 4;
-/// Sends beyond the route's attempts that surely did not run, for each shard.
+/// Maximum sends per shard, beyond the route's attempts, that are known not to have run.
 const MAX_UNRUN_SENDS: usize = 2;
 
-/// When a gathering ends, in milliseconds since the start of the process.
+/// Time limits of one gather, in milliseconds since the start of the process.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Deadlines {
-    /// When an answer must be on its way to be in time.
+    /// Latest time at which an answer that meets the target latency is sent.
     pub(crate) target_at_ms: u64,
-    /// When the caller's time is over.
+    /// Time at which the caller's deadline expires.
     pub(crate) limit_at_ms: u64,
 }
 
-/// For whom shards are gathered.
+/// Origin of a gather request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Requester {
-    /// For a caller: other instances may be asked.
+    /// A caller; shards may be relayed to other instances.
     Caller,
-    /// For another instance, which takes any number of shards.
+    /// Another instance, which accepts any number of shards.
     Peer {
-        /// Whether a third one may have sent them before.
+        /// True if a third instance may already have sent the shards.
         is_repeat: bool,
-        /// Shards that the whole answer may miss.
+        /// Number of shards that the complete answer may lack.
         may_miss: usize,
-        /// Of them, those that may be left out here since they would be late.
+        /// Number of these that may be left out here because they would be late.
         may_leave_out: usize,
-        /// Whether these are all shards of the request, so that others are asked in turn.
+        /// True if these are all shards of the request, so that they may be relayed again.
         is_whole: bool,
     },
 }
 
-/// The end of one send, or of one question to another instance.
+/// Result of a send to a replica, of a relay request or of a probe.
 enum Event {
     Send {
         shard: usize,
@@ -72,7 +73,7 @@
         result: Result<Reply, PartFailure>,
     },
     Relay(RelayResult),
-    /// Whether an instance whose answer is late answers at all.
+    /// Result of a liveness probe to an instance whose answer is late.
     Probed {
         peer: Peer,
         shards: Vec<usize>,
@@ -80,22 +81,22 @@
     },
 }
 
-/// What is in progress; dropped, it is cancelled, but for sends that were let go.
+/// Tasks in flight; dropping them cancels all but detached sends.
 #[derive(Default)]
 struct InFlightTasks {
     /// Requests to replicas.
     sends: Vec<JoinHandle<()>>,
-    /// Questions to other instances.
+    /// Requests and probes to other instances.
     peer_requests: Vec<JoinHandle<()>>,
 }
 
 impl InFlightTasks {
-    /// Lets the sends end by themselves.
+    /// Detaches the sends, which then run to their end.
     ///
-    /// A replica that was outrun answers a little later: its connection is kept and its
-    /// latency learnt. To cut it would cost a new connection, which holds a slot. An instance
-    /// that was outrun is told to stop: one that was frozen began to gather for callers who had
-    /// long been answered when it woke.
+    /// A replica whose answer came second is usually close to answering: its connection stays open
+    /// and its latency is measured, while cancelling would cost a new connection, which occupies a
+    /// slot. Relay requests are still cancelled. Otherwise an instance that was frozen would
+    /// gather, once it resumes, for callers that have already been answered.
     fn detach_sends(&mut self) {
         self.sends.clear();
     }
@@ -109,11 +110,11 @@
     }
 }
 
-/// One gathering.
+/// Scatter-gather of one request.
 pub(crate) struct Gather<'a> {
     router: &'a Rc<Router>,
     view: &'a Arc<View>,
-    /// The view in force: replicas may leave, and zones be evacuated, while a request is served.
+    /// Latest view; replicas may leave and zones be evacuated while a request is served.
     current_view: Arc<View>,
     route: &'a Arc<Route>,
     route_state: Rc<RouteState>,
@@ -123,15 +124,15 @@
     deadlines: Deadlines,
     timing: Timing,
     tasks: InFlightTasks,
-    /// Requests and questions on their way, as far as they may have gone out.
+    /// Flags of sends and relay requests that may have been written to a connection.
     write_flags: Vec<Offered>,
     events: mpsc::UnboundedReceiver<Event>,
     event_sender: mpsc::UnboundedSender<Event>,
-    /// Instances that are asked whether they answer, once that is due.
+    /// Liveness probes that are scheduled for instances with relayed shards.
     probes: Vec<Probe>,
-    /// Whether shards that were not in time have been asked for once more.
+    /// True once late shards have been retried.
     has_retried_late: bool,
-    /// Sends to one replica at a time, since others have ended under the request.
+    /// Isolated trials of a request during which replicas have crashed.
     trials: Trials,
     gathered: Gathered,
 }
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Gathers until there is enough, or enough is out of reach.
+    /// Gathers until the answer is sufficient or can't become sufficient any more.
     pub(crate) async fn run(mut self, requester: Requester) -> Gathered {
         self.trials.run_locally = !matches!(requester, Requester::Peer { is_whole: false, .. });
         if self.is_quarantined() || !self.start(requester) {
@@ -204,7 +205,7 @@
             self.send_due_probes(now_ms);
             self.handle_events(now_ms, wait_until_ms).await;
         };
-        // What is still on its way may run; to say that it did not would be a lie.
+        // A request that is in flight may still run, so it must not be reported as not run.
         self.gathered.may_have_run |= self.write_flags.iter().any(Offered::is_marked);
         if !is_given_up {
             self.tasks.detach_sends();
@@ -217,12 +218,12 @@
         self.gathered
     }
 
-    /// Sends or asks for all shards; false if none of them is.
+    /// Sends or relays all shards; returns false if nothing is sent.
     fn start(&mut self, requester: Requester) -> bool {
         match requester {
             Requester::Caller => self.start_for_caller(),
             Requester::Peer { is_repeat, may_miss, may_leave_out, is_whole } => {
-                // The asking instance takes any number of some shards.
+                // The requesting instance accepts any subset of the shards.
                 self.required_shards =
                     if is_whole { self.shards.len().saturating_sub(may_miss) } else { 0 };
                 let is_started = self.admit_for_peer(may_miss, may_leave_out);
@@ -241,7 +242,7 @@
             return false;
         }
         if let Some(peer) = self.delegate().cloned() {
-            // That one knows more of the replicas, and plans for this one too.
+            // The delegate knows the replicas' load better and does the admission control as well.
             self.delegate_to(&peer);
             return true;
         }
@@ -252,13 +253,13 @@
         is_started
     }
 
-    /// Services of the shards in a certain state.
+    /// Returns the services of the shards whose state matches.
     fn services(&self, is_wanted: impl Fn(ShardState) -> bool) -> Vec<Arc<str>> {
         let wanted = self.shards.iter().filter(|s| is_wanted(s.state));
         wanted.map(|s| Arc::clone(&s.service)).collect()
     }
 
-    /// Waits for an end, the next hedge or `until_ms`, whichever comes first.
+    /// Waits for an event, the next hedge or probe, or `until_ms`, whichever comes first.
     async fn handle_events(&mut self, now_ms: u64, until_ms: u64) {
         let hedges = self.shards.iter().filter_map(|s| s.hedge_at_ms);
         let next_ms = hedges.chain(self.probes.iter().map(|c| c.at_ms)).min();
@@ -272,13 +273,13 @@
         }
     }
 
-    /// Whether enough shards have a replica at all; if not, waiting helps nobody.
+    /// True if enough shards have a replica; otherwise the request fails without waiting.
     fn has_enough_replicas(&self) -> bool {
         let has_replica = |s: &&Shard| self.replicas(&s.service).next().is_some();
         self.shards.iter().filter(has_replica).count() >= self.required_shards
     }
 
-    /// Replicas of a service that take new work, without those that are known to be replaced.
+    /// Returns the replicas of a service that accept new work and have not been replaced.
     fn replicas(&self, service: &str) -> impl Iterator<Item = &'a Arc<ReplicaEntry>> + Clone {
         let listed = self.view.replicas.get(service).map_or(&[][..], Vec::as_slice);
         let (router, current_view) = (self.router, &self.current_view);
@@ -289,16 +290,16 @@
         listed.iter().filter(takes_work).filter(is_home).filter(|r| !router.is_replaced(r))
     }
 
-    /// Instances that may be asked for shards of the request.
+    /// Returns healthy instances to which shards of the request may be relayed.
     ///
-    /// Its body goes to no region but its homes, and the one to which its caller came.
+    /// The request body is sent only to its home regions and to the region that received it.
     fn healthy_peers(&self) -> Vec<&'a Peer> {
         let mut peers = self.router.healthy_peers(self.view);
         peers.retain(|p| self.router.is_home(&self.route.home_regions, &p.zone));
         peers
     }
 
-    /// Whether a replica is warm, or counted here and may get more.
+    /// True if a replica is warm, or is rate limited by this instance and below its limit.
     fn may_send_directly(&self, replica: &ReplicaEntry) -> bool {
         matches!(
             self.router.cold_admission(&self.current_view, replica),
@@ -309,7 +310,7 @@
     fn progress(&self) -> Gathering {
         let count = |state| self.shards.iter().filter(|s| s.state == state).count();
         let covered = count(ShardState::Covered);
-        // Those that are late still count as long as the answer can't do without them.
+        // Late shards still count as outstanding while the answer is insufficient without them.
         let late = if covered >= self.required_shards { count(ShardState::Late) } else { 0 };
         Gathering {
             total: self.shards.len(),
--- a/crates/router/src/gather/quarantine.rs
+++ b/crates/router/src/gather/quarantine.rs
@@ -1,9 +1,10 @@
-//! Requests under which replicas have ended: whether a send goes out now, later or never.
+//! Send permission for requests during which replicas have crashed.
 //!
-//! Without this, each shard whose replica has ended is sent to its other replica at once, and a
-//! request that ends those that run it takes both of each shard within milliseconds. A request
-//! that merely ran beside it loses as many sends in the same moment, and is to be answered all
-//! the same: it is tried on one replica, and the rest follows with the first answer.
+//! Without this check each shard whose replica has crashed is sent to its other replica at once,
+//! and a request that crashes the replicas that run it takes down both replicas of each shard
+//! within milliseconds. An innocent request that ran at the same time loses as many sends and must
+//! still be answered: it is tried on one replica, and the remaining shards are sent after the first
+//! answer.
 
 use std::sync::Arc;
 
@@ -13,38 +14,44 @@
 use super::Gather;
 use super::shard::ShardState;
 
-/// Replicas on which one request is tried by itself at the most: two ends prove enough, and one
-/// trial may bring nothing, such as one at a replica that is paused.
+/// Maximum replicas on which one request is tried in isolation.
+///
+/// Two crashes are sufficient proof, and one trial may be inconclusive, for example on a paused
+/// replica.
 const MAX_TRIALS: usize = 3;
-/// Replicas that have lost a request which nobody has answered from which further sends wait
-/// until it is known whether they have ended, some milliseconds. One is lost often.
+/// Number of lost sends of an unanswered request from which further sends wait.
+///
+/// They wait for some milliseconds until it is known whether the replicas have crashed. A single
+/// loss is common.
 const LOSSES_TO_HOLD: usize = 2;
 
-/// Shards of which one answers before second sends are due, as a rule.
+/// Number of shards from which hedges wait for the first answer.
+///
+/// With this many shards at least one usually answers before hedges are due.
 const HEDGE_HOLD_MIN_SHARDS: usize = 4;
 
-/// Whether a send may go out.
+/// Decision on a single send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Permission {
     Now,
-    /// Once more is known, which takes milliseconds.
+    /// Deferred by some milliseconds until more is known.
     Later,
     Never,
 }
 
-/// Sends of one request to one replica at a time.
+/// Isolated trials: sends of one request to one replica at a time.
 #[derive(Debug, Default)]
 pub(super) struct Trials {
-    /// Whether they are made here; the instance that asks for some shards makes them itself.
+    /// True if trials are run here; for a subset of the shards the requesting instance runs them.
     pub(super) run_locally: bool,
-    /// Replicas that it was tried on.
+    /// Replicas on which the request was tried.
     replicas: Vec<Arc<str>>,
-    /// When the last one counts as without a finding, in milliseconds.
+    /// Time at which the latest trial counts as inconclusive, in milliseconds.
     until_ms: u64,
 }
 
 impl Trials {
-    /// Takes back a trial whose replica surely did not run the request.
+    /// Removes a trial whose replica is known not to have run the request.
     pub(super) fn retract(&mut self, replica: &str) {
         if let Some(at) = self.replicas.iter().position(|tried| **tried == *replica) {
             self.replicas.swap_remove(at);
@@ -54,20 +61,20 @@
 }
 
 impl Gather<'_> {
-    /// Whether the request is refused since replicas end under it.
+    /// True if the request is refused because it crashes replicas.
     pub(super) fn is_quarantined(&self) -> bool {
         matches!(self.treatment(), Treatment::Refused(_))
     }
 
-    /// Whether it is sent to one replica at a time, if at all.
+    /// True if the request is sent to one replica at a time or not at all.
     pub(super) fn is_suspect(&self) -> bool {
         self.treatment() != Treatment::Usual
     }
 
-    /// Whether second sends wait.
+    /// True if hedges must wait.
     ///
-    /// Where none of many shards has answered, no single replica is to blame, and a request that
-    /// ends replicas would take the other one of each shard.
+    /// If none of many shards has answered, the cause is not a single replica, and hedging a
+    /// request that crashes replicas would take down the second replica of each shard.
     pub(super) fn are_hedges_held(&self) -> bool {
         let is_answered = self.request.learnt.is_answered.get();
         let has_many = self.shards.len() >= HEDGE_HOLD_MIN_SHARDS;
@@ -75,14 +82,14 @@
             && (has_many || self.is_suspect() || self.unresolved_losses() >= LOSSES_TO_HOLD)
     }
 
-    /// Notes for how long it is refused, where it is.
+    /// Records the remaining refusal time if the request is quarantined.
     pub(super) fn record_quarantine(&mut self) {
         if let Treatment::Refused(left_ms) = self.treatment() {
             self.gathered.quarantined_ms = Some(left_ms);
         }
     }
 
-    /// Whether a shard's request may go to `replica`.
+    /// Decides whether a shard's request may be sent to `replica`.
     pub(super) fn check_send(
         &mut self,
         index: usize,
@@ -101,7 +108,7 @@
         }
     }
 
-    /// Lets one shard's send out, if nothing else of the request is on its way.
+    /// Permits a trial if nothing else of the request is in flight.
     fn check_trial(
         &mut self,
         index: usize,
@@ -117,7 +124,7 @@
             return Permission::Later;
         }
         if self.trials.until_ms == 0 && in_flight > 0 {
-            // What was sent before it became suspect shows as much as a trial.
+            // A send from before the request became suspect is as conclusive as a trial.
             self.trials.until_ms = now_ms + self.trial_ms();
             return Permission::Later;
         }
@@ -133,14 +140,18 @@
         Permission::Now
     }
 
-    /// Longest time in which a trial brings a finding: a replica that has just started is slow to
-    /// end as well, and a trial that is given up before proves nothing.
+    /// Returns the time after which a trial is inconclusive, in milliseconds.
+    ///
+    /// A replica that has just started is slow to crash as well, and a trial that is abandoned
+    /// before that proves nothing.
     fn trial_ms(&self) -> u64 {
         self.timing.hedge_delay_ms.max(self.route.target_latency_ms)
     }
 
-    /// The shard that is tried next: another one for each request, so that two that are tried at
-    /// the same time meet at the same replica but rarely.
+    /// Returns the shard for the next trial.
+    ///
+    /// The order depends on the request, so that concurrent trials of two requests rarely use the
+    /// same replica.
     fn next_trial_shard(&self) -> Option<usize> {
         let fingerprint = self.request.fingerprint();
         let is_waiting = |i: &usize| {
@@ -156,7 +167,7 @@
         self.router.treatment(self.request.fingerprint())
     }
 
-    /// Replicas that have lost it and of which it is not known yet whether they have ended.
+    /// Returns the number of replicas that lost the request and are still being probed.
     fn unresolved_losses(&self) -> usize {
         self.router.losses.borrow().awaited(self.request.fingerprint())
     }
--- a/crates/router/src/gather/relay.rs
+++ b/crates/router/src/gather/relay.rs
@@ -1,4 +1,4 @@
-//! Asking another instance, beside the replicas, for the merged parts of several shards.
+//! Relays shards to other instances, which gather and merge them.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,37 +18,38 @@
 use super::{Event, Gather};
 use crate::view::Peer;
 
-/// Kept of the target time for the other instance's answer to come back.
+/// Part of the target latency reserved for the transfer of a relayed answer, in milliseconds.
 const RETURN_MARGIN_MS: u64 = 3;
-/// How many times the own processor time another instance must have to gather in place of
-/// this one: the way there and back and one more question are small beside half of the work.
+/// Minimum ratio of another instance's CPU capacity to the local one for delegating to it.
+///
+/// At this ratio the round trip and the extra message cost little compared with half of the work.
 const DELEGATE_CAPACITY_FACTOR: u32 = 2;
-/// Time that an answer needs at least for the detour to be worth it.
+/// Minimum remaining time for which relaying can still meet the target, in milliseconds.
 const MIN_ANSWER_MS: u64 = 8;
 
-/// When an instance is asked whether it answers at all.
+/// Scheduled liveness probe of an instance that gathers relayed shards.
 ///
-/// A late answer has two causes. Mostly a shard is late, and the instance sends second
-/// requests itself: to send them from here too took three times the budget for repeats.
-/// But it may be frozen or cut off, and then another must be asked for all its shards.
+/// A late answer usually means that a shard is late, and the instance sends hedges itself; hedging
+/// from here as well used three times the retry budget. If the instance is frozen or unreachable,
+/// another one must gather all its shards.
 pub(super) struct Probe {
     pub(super) peer: Peer,
     pub(super) shards: Vec<usize>,
     pub(super) at_ms: u64,
 }
 
-/// How some shards are asked for.
+/// Options of a relay request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RelayOptions {
-    /// Whether another instance may have sent them.
+    /// True if another instance may already have sent the shards.
     pub(super) is_repeat: bool,
-    /// How many of them may be left out where they would be late.
+    /// Number of shards that may be left out because they would be late.
     pub(super) may_leave_out: usize,
-    /// Whether these are all shards of the request, to be asked for wherever that is best.
+    /// True if these are all shards of the request, which the receiver may relay again.
     pub(super) is_whole: bool,
 }
 
-/// The end of a question to another instance.
+/// Result of a relay request to another instance.
 pub(super) struct RelayResult {
     pub(super) peer: Arc<str>,
     pub(super) zone: Arc<str>,
@@ -58,12 +59,12 @@
 }
 
 impl<'a> Gather<'a> {
-    /// The instance that gathers the whole request in place of this one, if that is better.
+    /// Returns the instance that gathers the whole request instead of this one, if cheaper.
     ///
-    /// A request of 129 shards is ten questions and ten answers to be merged: ten milliseconds
-    /// and more of an instance with an eighth of a core, of the fifty in which some answers are
-    /// wanted. One with half a core needs a quarter of that, its connections are in use, and since
-    /// all requests of the zone go by way of a few, these know the replicas' queues.
+    /// Splitting a request of 129 shards takes ten relay requests and ten answers to merge. That is
+    /// more than 10 ms on an instance with an eighth of a core, where some answers have a target of
+    /// 50 ms. An instance with half a core needs a quarter of that. Its connections are in use, and
+    /// since a few instances handle all requests of the zone, they know the replicas' queues.
     pub(super) fn delegate(&self) -> Option<&'a Peer> {
         let router = self.router;
         let is_small = !self.view.is_gatherer && self.view.is_sliced(&router.zone);
@@ -76,7 +77,7 @@
         router.best_peer(&peers, &router.zone, rand::random())
     }
 
-    /// Asks an instance of the own zone for all shards.
+    /// Relays all shards to one instance in the local zone.
     pub(super) fn delegate_to(&mut self, peer: &Peer) {
         let all = (0..self.shards.len()).collect();
         let may_leave_out = self.may_miss();
@@ -87,9 +88,9 @@
         );
     }
 
-    /// Sends all shards: some directly, some by way of other instances.
+    /// Sends all shards, some directly and some through other instances.
     ///
-    /// `is_repeat` if a third one may have sent them.
+    /// `is_repeat` is true if a third instance may already have sent them.
     pub(super) fn dispatch_all(&mut self, is_repeat: bool) {
         let relay_groups = self.relay_groups();
         let may_leave_out = self.split_miss_budget(&relay_groups);
@@ -110,19 +111,19 @@
         }
     }
 
-    /// How many of its shards each of those who are asked may leave out.
+    /// Returns how many of its shards each relay group may leave out.
     fn split_miss_budget(&self, relay_groups: &[(Peer, Vec<usize>)]) -> Vec<usize> {
         let mut sizes: Vec<usize> = relay_groups.iter().map(|(_, shards)| shards.len()).collect();
         let open = self.shards.iter().filter(|s| s.state == ShardState::Pending).count();
-        // What is sent from here may be late as well.
+        // Shards that are sent from here may be late as well.
         sizes.push(open - sizes.iter().sum::<usize>());
         admission::share_misses(self.may_miss(), &sizes)
     }
 
-    /// Shards that are best asked for elsewhere, with the instance to ask.
+    /// Groups the shards that are better gathered elsewhere by the instance to ask.
     fn relay_groups(&self) -> Vec<(Peer, Vec<usize>)> {
-        // One that is tried on one replica at a time is sent from here only: each of those who
-        // are asked would try it on one.
+        // Isolated trials are sent from here only; otherwise each instance would run a trial of its
+        // own.
         if self.shards.len() == 1 || self.view.peers.is_empty() || self.is_suspect() {
             return Vec::new();
         }
@@ -131,7 +132,7 @@
         self.assign(open, &self.router.zone, &peers)
     }
 
-    /// Some shards with the instances to ask for them, those in the zone `first` first.
+    /// Assigns shards to instances, those in `preferred_zone` first.
     pub(super) fn assign(
         &self,
         shards: impl IntoIterator<Item = usize>,
@@ -156,7 +157,7 @@
         assigned
     }
 
-    /// Splits a large zone's shards among those that gather them; the own ones are left.
+    /// Splits the shards of a sliced zone by owner; shards owned by this instance are left out.
     fn split_by_owner(&self, group: &Group<'_>, peers: &[&Peer]) -> Vec<(Peer, Vec<usize>)> {
         let near: Vec<&&Peer> = peers.iter().filter(|p| &*p.zone == group.zone).collect();
         let gathering: Vec<Candidate> = near.iter().map(|p| p.candidate()).collect();
@@ -169,10 +170,10 @@
         split.into_iter().map(|(owner, shards)| ((*near[owner]).clone(), shards)).collect()
     }
 
-    /// Zones in which an instance could ask a replica of a shard; none if the own zone has one.
+    /// Returns zones whose instances have local replicas of a shard; none if this one does.
     fn relay_zones<'p>(&self, shard: &Shard, peers: &[&'p Peer]) -> Vec<&'p str> {
         let allowed = self.replicas(&shard.service).filter(|r| shard.allows(r));
-        // Where none is open here, whoever counts for a cold one knows what it may get.
+        // If no replica may be used from here, the instances that rate limit the cold ones decide.
         let is_any_open = allowed.clone().any(|r| self.may_send_directly(r));
         let replicas = allowed.filter(|r| !is_any_open || self.may_send_directly(r));
         if self.router.gathers(self.view, &shard.service)
@@ -188,12 +189,12 @@
         zones
     }
 
-    /// Asks an instance for some shards.
+    /// Relays some shards to an instance.
     pub(super) fn relay_shards(&mut self, peer: &Peer, shards: Vec<usize>, options: RelayOptions) {
         let now_ms = self.router.shared.now_ms();
         let probe_delay_ms = self.route_state.relay_probe_delay_ms(self.route.target_latency_ms);
         for &index in &shards {
-            // Those that were drawn for another instance stay: it may have sent to them.
+            // Replicas drawn for a previous instance are kept, since it may have sent to them.
             let drawn = self.shards[index].allowed.take();
             let allowed = drawn.unwrap_or_else(|| self.draw_replicas(index, &peer.zone));
             let shard = &mut self.shards[index];
@@ -223,12 +224,12 @@
             }
             let relay_result =
                 RelayResult { peer, zone, shards, is_whole: options.is_whole, result };
-            // Nobody listens once the answer has gone out.
+            // The receiver is closed once the request has been answered.
             let _is_closed = event_sender.send(Event::Relay(relay_result)).is_err();
         }));
     }
 
-    /// Marks of the replicas that a shard asked for in `zone` may be sent to.
+    /// Draws the replicas that may be used for a shard relayed to `zone`; returns their marks.
     fn draw_replicas(&self, index: usize, zone: &str) -> Vec<u32> {
         let all: Vec<_> = self.replicas(&self.shards[index].service).collect();
         let places: Vec<Place<'_>> = all.iter().map(|r| self.place(r)).collect();
@@ -248,7 +249,7 @@
         let request = self.request;
         let until_target_ms = self.deadlines.target_at_ms.saturating_sub(now_ms);
         let time_left_ms = self.deadlines.limit_at_ms.saturating_sub(now_ms);
-        // Once the target is out of reach, whatever comes before the limit will do.
+        // If the target can't be met any more, the answer may take until the deadline.
         let answer_within_ms = if until_target_ms >= MIN_ANSWER_MS + RETURN_MARGIN_MS {
             until_target_ms - RETURN_MARGIN_MS
         } else {
@@ -260,7 +261,7 @@
         };
         let service = |&i: &usize| self.shards[i].service.to_string();
         let to_u32 = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-        // Padded, so that the other side can tell which belong to which shard.
+        // Padded to a fixed length, so that the receiver can split the list by shard.
         let marks = |&i: &usize| {
             let mut marks = self.shards[i].allowed.clone().unwrap_or_default();
             marks.resize(self.route.attempts.max(1), relays::NO_MARK);
@@ -285,7 +286,7 @@
             may_miss: to_u32(self.may_miss()),
             misses_of_others: to_u32(self.may_miss().saturating_sub(may_leave_out)),
             is_whole,
-            // Zero stands for "does not say".
+            // Zero means "not specified" on the wire.
             sent_ms: now_ms.max(1),
             report: self.router.report_on(request.fingerprint()),
             home_regions: self.route.home_regions.iter().map(ToString::to_string).collect(),
@@ -293,7 +294,7 @@
     }
 }
 
-/// Whether nothing of a question can have reached a replica.
+/// True if no replica can have received anything of a relay request.
 fn cannot_have_run(result: &Result<wire::Gathered, PeerError>) -> bool {
     match result {
         Ok(answer) => !answer.may_have_run && answer.parts.is_empty(),
--- a/crates/router/src/gather/relay_results.rs
+++ b/crates/router/src/gather/relay_results.rs
@@ -1,4 +1,4 @@
-//! How questions to other instances end: merged parts, silence, and who is asked instead.
+//! Results of relay requests: merged parts, unresponsive instances and reassignment.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -12,8 +12,9 @@
 use super::{Event, Gather, MergedParts};
 use crate::view::Peer;
 
-/// Time in which an instance says that it is alive; a way there and back within a region
-/// takes up to 6 ms.
+/// Time limit of a liveness probe.
+///
+/// A round trip within a region takes up to 6 ms.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(10);
 
 impl Gather<'_> {
@@ -28,7 +29,7 @@
             let event_sender = self.event_sender.clone();
             self.tasks.peer_requests.push(actix_rt::spawn(async move {
                 let is_alive = router.is_alive(&peer, PROBE_TIMEOUT).await;
-                // Nobody listens once the answer has gone out.
+                // The receiver is closed once the request has been answered.
                 let _is_closed =
                     event_sender.send(Event::Probed { peer, shards, is_alive }).is_err();
             }));
@@ -47,13 +48,12 @@
         }
     }
 
-    /// Asks other instances in place of one that brings nothing; returns the shards that are
-    /// left to send from here.
+    /// Relays shards of a lost instance to others; returns those that must be sent from here.
     ///
-    /// An instance that does not gather has next to no part of the budget for repeats, since
-    /// nearly all are sent by those who do: when one of them was lost, the requests that it
-    /// worked for lost its shards, 1,788 sends in two seconds with 35 of 77 instances killed.
-    /// The one that is asked now pays. Each shard moves once.
+    /// An instance that does not gather for others has almost no retry budget, because the
+    /// gathering instances do nearly all sends. When a gathering instance was lost, the requests
+    /// relayed to it lost their shards: 1,788 sends in two seconds with 35 of 77 instances killed.
+    /// The new instance uses its own retry budget instead. Each shard is reassigned at most once.
     fn relay_to_another(
         &mut self,
         lost: &str,
@@ -68,8 +68,8 @@
         }
         let mut peers = self.healthy_peers();
         peers.retain(|p| &*p.name != lost);
-        let fresh = open.iter().copied().filter(|&i| !self.shards[i].was_reassigned);
-        let moved = self.assign(fresh.collect::<Vec<_>>(), zone, &peers);
+        let not_reassigned = open.iter().copied().filter(|&i| !self.shards[i].was_reassigned);
+        let moved = self.assign(not_reassigned.collect::<Vec<_>>(), zone, &peers);
         let mut remaining: BTreeSet<usize> = open.into_iter().collect();
         for (peer, shards) in moved {
             let (id, count) = (self.request.id_text(), shards.len());
@@ -81,7 +81,7 @@
                 remaining.remove(&index);
                 self.shards[index].was_reassigned = true;
             }
-            // What may be missed was divided before.
+            // The shards that may be missed have already been divided among the instances.
             self.relay_shards(
                 &peer,
                 shards,
@@ -138,8 +138,8 @@
             Some((*shard, part.signature))
         };
         let parts: Vec<_> = parts.into_iter().filter_map(position).collect();
-        // Two instances were asked where one was silent. A merged answer can't be taken apart,
-        // and a shard that is in twice would make the whole answer wrong.
+        // Two instances were asked after one did not respond. A merged answer can't be split, and a
+        // shard that is merged twice would make the result wrong.
         if parts.iter().any(|(index, _)| self.gathered.has_merged(*index)) {
             return shards.iter().for_each(|&index| self.fail_if_idle(index));
         }
@@ -149,7 +149,7 @@
         self.gathered.merged.push(MergedParts { records, parts });
         for &index in shards {
             if is_whole {
-                // It has tried what there was to try, and knows the replicas better.
+                // The delegate has already retried, with better knowledge of the replicas.
                 self.fail_if_idle(index);
             } else {
                 self.retry_relayed(index, true);
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Takes note of shards that the other instance did not send, since they would be late.
+    /// Marks the shards that the other instance left out because they would be late.
     fn apply_left_out(&mut self, shards: &[usize], left_out: &[u32]) {
         let positions = left_out.iter().filter_map(|&i| shards.get(usize::try_from(i).ok()?));
         for &index in positions {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Asks a replica directly for a shard that the other instance did not bring.
+    /// Sends a shard directly that the other instance did not return.
     fn retry_relayed(&mut self, index: usize, was_sent: bool) {
         let shard = &mut self.shards[index];
         if shard.state != ShardState::Pending {
--- a/crates/router/src/gather/results.rs
+++ b/crates/router/src/gather/results.rs
@@ -1,4 +1,4 @@
-//! How sends end, and what follows: a shard is covered, sent once more, or has failed.
+//! Results of sends: a shard is covered, retried or failed.
 
 use eelgrasspier_backend::PartFailure;
 use eelgrasspier_decide::prelude::Verdict;
@@ -7,8 +7,9 @@
 use super::{CONNECTION_RETRY_MS, Event, Gather, MAX_UNRUN_SENDS};
 use crate::backend::Reply;
 
-/// Part of the shards that are asked for once more for a late answer at the most, as a divisor:
-/// where more are missing the answer would take most of the work of a new one.
+/// Divisor of the shard count that limits how many shards are retried for a late answer.
+///
+/// With more missing shards the retry would cost nearly as much as a new request.
 const MAX_LATE_DIVISOR: usize = 16;
 
 impl Gather<'_> {
@@ -38,7 +39,7 @@
         }
     }
 
-    /// A replica's own failure: it ran the request.
+    /// Handles an error status: the replica ran the request.
     fn on_replica_error(&mut self, index: usize, replica: &str, reply: Reply) {
         self.log_failure(replica, index, "status", reply.status.as_str());
         self.gathered.may_have_run = true;
@@ -51,7 +52,7 @@
         }
     }
 
-    /// No usable answer came.
+    /// Handles a send without a usable answer.
     fn on_send_error(&mut self, index: usize, replica: &str, failure: &PartFailure) {
         if *failure == PartFailure::Crowded {
             return self.schedule_connection_retry(index, replica);
@@ -63,7 +64,7 @@
             self.shards[index].not_run += 1;
             self.trials.retract(replica);
         }
-        // A misdirected one reached another service.
+        // A misdirected send reached a replica of another service.
         let is_arrival = !matches!(
             failure,
             PartFailure::NotReached(_) | PartFailure::NotListening | PartFailure::Misdirected
@@ -75,12 +76,12 @@
         }
     }
 
-    /// Others took the last connections first: looks again in a moment.
+    /// Schedules another attempt after concurrent requests have used the last free connections.
     fn schedule_connection_retry(&mut self, index: usize, replica: &str) {
-        let again_ms = self.router.shared.now_ms() + CONNECTION_RETRY_MS;
+        let retry_at_ms = self.router.shared.now_ms() + CONNECTION_RETRY_MS;
         let shard = &mut self.shards[index];
         shard.tried.retain(|tried| **tried != *replica);
-        shard.hedge_at_ms = Some(shard.hedge_at_ms.map_or(again_ms, |at| at.min(again_ms)));
+        shard.hedge_at_ms = Some(shard.hedge_at_ms.map_or(retry_at_ms, |at| at.min(retry_at_ms)));
     }
 
     fn mark_failed(&mut self, index: usize) {
@@ -90,15 +91,15 @@
         }
     }
 
-    /// Sends once more after a failed send; `is_arrival` if that one counts as sent.
+    /// Retries after a failed send, which uses retry budget if `is_arrival`.
     pub(super) fn retry(&mut self, index: usize, is_arrival: bool) {
         let shard = &self.shards[index];
         let is_over = self.router.shared.now_ms() >= self.deadlines.limit_at_ms;
         if shard.state != ShardState::Pending || is_over {
             return;
         }
-        let most = self.route.attempts.max(1) + MAX_UNRUN_SENDS;
-        let has_sent = if shard.tried.len() >= most {
+        let max_sends = self.route.attempts.max(1) + MAX_UNRUN_SENDS;
+        let has_sent = if shard.tried.len() >= max_sends {
             false
         } else if is_arrival {
             self.resend(index, "retry")
@@ -110,7 +111,7 @@
         }
     }
 
-    /// A shard with nothing on its way can't be in time any more.
+    /// Marks an idle shard as late if it may still be retried, otherwise as failed.
     fn mark_late_if_idle(&mut self, index: usize) {
         let has_replica = self.eligible_replicas(&self.shards[index]).next().is_some();
         if self.required_shards == 0 || self.has_retried_late || !has_replica {
@@ -122,10 +123,10 @@
         }
     }
 
-    /// Asks once more for shards that were not in time, where few of them complete the answer.
+    /// Retries late shards once, if a few of them are enough to complete the answer.
     ///
-    /// Without it an answer that lacked one shard of 83 was given up at its target, with five
-    /// times as long left: the caller tried again, and all shards worked for it a second time.
+    /// Otherwise an answer that lacked one shard of 83 failed at its target with five times as much
+    /// time left until the deadline. The caller then retried and all shards ran a second time.
     pub(super) fn retry_late_shards(&mut self, now_ms: u64) {
         let count = |state| self.shards.iter().filter(|s| s.state == state).count();
         let [late, open, covered] =
@@ -135,20 +136,20 @@
             return;
         }
         self.has_retried_late = true;
-        let most = self.shards.len() / MAX_LATE_DIVISOR + 1;
-        let is_near = covered + open + late >= self.required_shards
-            && covered + open + most >= self.required_shards;
+        let max_retried = self.shards.len() / MAX_LATE_DIVISOR + 1;
+        let can_complete = covered + open + late >= self.required_shards
+            && covered + open + max_retried >= self.required_shards;
         for index in 0..self.shards.len() {
             if self.shards[index].state == ShardState::Late {
                 self.shards[index].state = ShardState::Pending;
-                if !is_near || !self.resend_late(index) {
+                if !can_complete || !self.resend_late(index) {
                     self.fail_if_idle(index);
                 }
             }
         }
     }
 
-    /// A shard with nothing on its way has failed.
+    /// Marks a shard as failed if nothing is in flight.
     pub(super) fn fail_if_idle(&mut self, index: usize) {
         if self.shards[index].in_flight == 0 {
             self.mark_failed(index);
--- a/crates/router/src/gather/send.rs
+++ b/crates/router/src/gather/send.rs
@@ -1,4 +1,4 @@
-//! Sends of a shard's request: to whom, and when once more.
+//! Sends to replicas: choice of the replica, hedges and retries.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,12 +14,13 @@
 use crate::backend::Attempt;
 use crate::cold::ColdAdmission;
 
-/// Time between two looks whether a second send helps, in milliseconds: a fraction of the time
-/// that a request holds a slot.
+/// Interval at which a postponed hedge is reconsidered, in milliseconds.
+///
+/// It is a fraction of the time for which a request occupies a slot.
 const HEDGE_RECHECK_MS: u64 = 10;
 
 impl<'a> Gather<'a> {
-    /// Replicas that a shard's request may still be sent to.
+    /// Returns the replicas to which a shard's request may still be sent.
     pub(super) fn eligible_replicas(
         &self,
         shard: &Shard,
@@ -30,10 +31,10 @@
         open.filter(|r| self.may_send_to(r))
     }
 
-    /// Whether a replica is warm, or may get one more request though it is cold.
+    /// True if a replica is warm, or is cold and may receive one more request.
     ///
-    /// Of many shards only one without a warm replica asks another instance for leave: the others
-    /// are as well off without.
+    /// A request with many shards asks another instance for permission only for a shard without a
+    /// warm replica; for the other shards a cold replica has no advantage.
     fn may_send_to(&self, replica: &ReplicaEntry) -> bool {
         match self.router.cold_admission(&self.current_view, replica) {
             ColdAdmission::Unlimited | ColdAdmission::CountedHere => true,
@@ -45,11 +46,12 @@
         }
     }
 
-    /// The best replica for one more send of a shard, of those with a free connection.
+    /// Returns the cheapest replica with a free connection.
     ///
-    /// None where those would be late and a better one has no connection free: a moment later
-    /// it has. Without this a third of the parts of a shard with one slow replica went there
-    /// whenever the connections to the other were in use, to take over a second.
+    /// Returns none if that replica would be late and a cheaper one has no free connection, because
+    /// one becomes free soon. Without this rule a third of the parts of a shard with one slow
+    /// replica were sent there whenever the connections to the other one were in use, and took over
+    /// a second.
     fn pick_replica(&self, shard: &Shard) -> Option<&'a Arc<ReplicaEntry>> {
         let budget_used = self.router.retry_budget_used(&shard.service, self.view);
         let cost_ms = |r: &Arc<ReplicaEntry>| {
@@ -62,8 +64,8 @@
         };
         let costs: Vec<_> = self.eligible_replicas(shard).map(|r| (cost_ms(r), r)).collect();
         let has_room = |r: &ReplicaEntry| {
-            let most = self.view.most_connections(&r.zone, shard.accepted_connections);
-            self.router.backend.has_room(&r.id, most)
+            let max_connections = self.view.most_connections(&r.zone, shard.accepted_connections);
+            self.router.backend.has_room(&r.id, max_connections)
         };
         let free = costs.iter().filter(|(_, r)| has_room(r));
         let (cost_ms, replica) = *free.min_by(|a, b| a.0.total_cmp(&b.0))?;
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Sends a shard's request to the best replica left; returns whether there was one.
+    /// Sends a shard's request to the best remaining replica; returns false if none is left.
     pub(super) fn send(&mut self, index: usize) -> bool {
         let now_ms = self.router.shared.now_ms();
         let Some(replica) = self.pick_replica(&self.shards[index]).cloned() else {
@@ -118,7 +120,7 @@
         true
     }
 
-    /// Sends a shard's request to `replica`, whatever speaks against it.
+    /// Starts a send to `replica` without further checks.
     fn spawn_send(&mut self, index: usize, replica: Arc<ReplicaEntry>, now_ms: u64) {
         let hedge_delay_ms = self.router.hedge_delay_ms(self.view, &self.timing, &replica);
         let shard = &mut self.shards[index];
@@ -159,19 +161,19 @@
             let result = if is_allowed {
                 sending.await
             } else {
-                Err(PartFailure::NotReached("it is cold and has got enough".to_owned()))
+                Err(PartFailure::NotReached("cold replica has reached its rate limit".to_owned()))
             };
             if result.as_ref().is_err_and(|failure| failure.verdict() == Verdict::NotRun) {
                 offered.clear();
             }
             let replica = Arc::clone(&replica.id);
-            // Nobody listens once the answer has gone out.
+            // The receiver is closed once the request has been answered.
             let _is_closed =
                 event_sender.send(Event::Send { shard: index, replica, result }).is_err();
         }));
     }
 
-    /// Whether a shard is not on its way, only because all connections are in use.
+    /// True if a shard has nothing in flight only because all connections are in use.
     fn awaits_connection(&self, index: usize) -> bool {
         let shard = &self.shards[index];
         shard.in_flight == 0 && self.eligible_replicas(shard).next().is_some()
@@ -199,13 +201,13 @@
         }
     }
 
-    /// Whether a hedge would find a free slot: where none is, it makes the queue longer for others.
+    /// True if a hedge would find a free slot; without one it only lengthens the queue.
     fn has_slot_for_hedge(&self, index: usize) -> bool {
         let replica = self.pick_replica(&self.shards[index]);
         replica.is_some_and(|r| self.router.estimate(r, &self.timing, 0.0).wait_ms <= 0.0)
     }
 
-    /// Looks again soon whether a second send helps: a slot may be free by then.
+    /// Schedules another check, because a slot may become free soon.
     fn postpone_hedge(&mut self, index: usize, now_ms: u64) {
         let at_ms = now_ms + HEDGE_RECHECK_MS;
         if at_ms < self.deadlines.target_at_ms {
@@ -213,19 +215,19 @@
         }
     }
 
-    /// Whether a replica is expected to answer in time; a second send is worth nothing else.
+    /// True if a replica is expected to answer within the target; otherwise a hedge is useless.
     fn meets_target(&self, replica: &ReplicaEntry) -> bool {
         self.answers_before(replica, self.deadlines.target_at_ms)
     }
 
-    /// Whether a replica is expected to answer before `at_ms`.
+    /// True if a replica is expected to answer before `at_ms`.
     fn answers_before(&self, replica: &ReplicaEntry, at_ms: u64) -> bool {
         let answer_ms = self.router.estimate(replica, &self.timing, 0.0).answer_ms;
         let left_ms = at_ms.saturating_sub(self.router.shared.now_ms());
         answer_ms <= f64::from(u32::try_from(left_ms).unwrap_or(u32::MAX))
     }
 
-    /// Sends a shard's request once more, if the budget allows it and it helps.
+    /// Sends a shard's request again if the answer would be in time and the retry budget allows it.
     pub(super) fn resend(&mut self, index: usize, cause: &'static str) -> bool {
         let Some(replica) = self.pick_replica(&self.shards[index]) else { return false };
         if !self.meets_target(replica) {
@@ -235,7 +237,7 @@
         self.resend_within_budget(index, cause)
     }
 
-    /// The same for an answer that is late already: the caller still waits for some time.
+    /// Sends a shard's request again after the target, if an answer is due before the deadline.
     pub(super) fn resend_late(&mut self, index: usize) -> bool {
         let Some(replica) = self.pick_replica(&self.shards[index]) else { return false };
         self.answers_before(replica, self.deadlines.limit_at_ms)
--- a/crates/router/src/gather/shard.rs
+++ b/crates/router/src/gather/shard.rs
@@ -1,4 +1,4 @@
-//! One shard of a request, and what was gathered.
+//! State of one shard of a request, and the gathered results.
 
 use std::sync::Arc;
 
@@ -14,9 +14,9 @@
     Pending,
     Covered,
     Failed,
-    /// Not asked, since it would be late.
+    /// Not sent because it would be late.
     LeftOut,
-    /// Not in time any more; asked for once more where that completes an answer that is late.
+    /// Can't meet the target; retried if that completes an answer that is already late.
     Late,
 }
 
@@ -24,17 +24,17 @@
 #[derive(Debug)]
 pub(super) struct Shard {
     pub(super) service: Arc<str>,
-    /// Connections that each of its replicas accepts, from everybody.
+    /// Connections that each of its replicas accepts from all instances together.
     pub(super) accepted_connections: u32,
-    /// Replicas that it was sent to from here.
+    /// Replicas to which this instance has sent the request.
     pub(super) tried: Vec<Arc<str>>,
-    /// Sends that surely did not run.
+    /// Number of sends that are known not to have run.
     pub(super) not_run: usize,
-    /// Marks of the replicas that it may be sent to, where two instances send.
+    /// Marks of the replicas that may be used, if the shard is relayed.
     pub(super) allowed: Option<Vec<u32>>,
-    /// Whether a second instance was asked, since the first was lost.
+    /// True if the shard was relayed again after the first instance was lost.
     pub(super) was_reassigned: bool,
-    /// Sends and questions to other instances without an end.
+    /// Sends and relay requests in flight.
     pub(super) in_flight: usize,
     pub(super) hedge_at_ms: Option<u64>,
     pub(super) state: ShardState,
@@ -55,66 +55,67 @@
         }
     }
 
-    /// Whether it may be sent to a replica, as far as another instance has drawn some.
+    /// True if the replica is among those drawn for a relay, or none were drawn.
     pub(super) fn allows(&self, replica: &ReplicaEntry) -> bool {
         self.allowed.as_ref().is_none_or(|marks| marks.contains(&relays::mark(&replica.id)))
     }
 
-    /// Replicas that run it, or may come to.
+    /// Returns the number of replicas that ran the request or may still run it.
     ///
-    /// A send that is on its way may run too: a second one beside it counts.
+    /// A send in flight counts, since it may run beside a second one.
     pub(super) fn used_attempts(&self) -> usize {
         self.tried.len() - self.not_run
     }
 }
 
-/// Parts that another instance has merged.
+/// Parts of several shards merged by another instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct MergedParts {
-    /// The greatest records of the parts.
+    /// Top records of the merged parts.
     pub(crate) records: Bytes,
-    /// Shard and signature of each part.
+    /// Shard index and signature of each part.
     pub(crate) parts: Vec<(usize, Bytes)>,
 }
 
-/// What was gathered.
+/// Results gathered for one request.
 #[derive(Debug, Default)]
 pub(crate) struct Gathered {
-    /// Successes by shard.
+    /// Successful replies by shard index.
     pub(crate) replies: Vec<(usize, Reply)>,
-    /// Parts that other instances have merged; each shard is in one of them at the most.
+    /// Parts merged by other instances; a shard is in at most one of them.
     pub(crate) merged: Vec<MergedParts>,
-    /// The last failure that a replica itself gave.
+    /// The last error response of a replica.
     pub(crate) failure: Option<Reply>,
-    /// When to come back, where it was refused before anything was sent.
+    /// Retry delay if the request was refused before anything was sent, in milliseconds.
     pub(crate) refused_ms: Option<u64>,
-    /// For how long it is refused since replicas end under it, in milliseconds.
+    /// Remaining refusal time of a request that crashes replicas, in milliseconds.
     pub(crate) quarantined_ms: Option<u64>,
-    /// Whether a replica may have run any of it.
+    /// True if a replica may have run any part of the request.
     pub(crate) may_have_run: bool,
-    /// Whether the time was over.
+    /// True if the deadline expired.
     pub(crate) is_timed_out: bool,
-    /// Second sends that went out, and those that the budget did not allow.
+    /// Extra sends (hedges and retries) that were sent, and those that the retry budget denied.
     pub(crate) repeats: u32,
     pub(crate) unpaid: u32,
     /// Sends to replicas in other zones.
     pub(crate) far: u32,
-    /// Sends to replicas that are cold, as far as they are counted here.
+    /// Sends to cold replicas that this instance rate limits.
     pub(crate) cold: u32,
-    /// Instances that were asked.
+    /// Relay requests sent to other instances.
     pub(crate) relays: u32,
-    /// Shards that are not in, by name.
+    /// Names of the shards without a result.
     pub(crate) missing: Vec<Arc<str>>,
-    /// Those of them that had failed, and were not just late.
+    /// The missing shards that failed rather than being late.
     pub(crate) failed: Vec<Arc<str>>,
-    /// Those that were not asked, since they would have been late.
+    /// The missing shards that were not sent because they would have been late.
     pub(crate) left_out: Vec<Arc<str>>,
 }
 
 impl Gathered {
-    /// The refusal where this does not make a success.
+    /// Returns the refusal if these results are not enough for a success.
     pub(crate) fn refusal(&self, retry_after_ms: u64) -> Refusal {
-        // Of one that was handed over, a third instance may have run what this one refused.
+        // A delegated request may have run through a third instance although the delegate refused
+        // it.
         if let Some(retry_after_ms) = self.refused_ms.filter(|_| !self.may_have_run) {
             return Refusal::not_run(RefusalReason::Overloaded, Some(retry_after_ms));
         }
@@ -130,7 +131,7 @@
         Refusal { verdict, reason, retry_after_ms: Some(retry_after_ms) }
     }
 
-    /// What it took, for the log.
+    /// Returns counters and missing shards as log fields.
     pub(crate) fn log_fields(&self) -> String {
         let Self { repeats, unpaid, far, cold, relays, .. } = self;
         let [missing, failed, left_out] =
@@ -141,19 +142,19 @@
         )
     }
 
-    /// Number of shards that are in.
+    /// Returns the number of covered shards.
     pub(crate) fn parts(&self) -> usize {
         self.replies.len() + self.merged.iter().map(|m| m.parts.len()).sum::<usize>()
     }
 
-    /// Whether a merged answer has a shard's part.
+    /// True if a merged answer contains the shard.
     pub(super) fn has_merged(&self, shard: usize) -> bool {
         self.merged.iter().flat_map(|m| &m.parts).any(|(covered, _)| *covered == shard)
     }
 
-    /// Drops own parts of shards that are in a merged answer too.
+    /// Drops replies of shards that are also in a merged answer.
     ///
-    /// A merged answer can't be taken apart again, and a shard must not count twice.
+    /// A merged answer can't be split, and a shard must not count twice.
     pub(super) fn drop_duplicates(&mut self) {
         let replies = std::mem::take(&mut self.replies);
         self.replies = replies.into_iter().filter(|(shard, _)| !self.has_merged(*shard)).collect();
--- a/crates/router/src/losses.rs
+++ b/crates/router/src/losses.rs
@@ -1,4 +1,4 @@
-//! Finds out whether a replica that has lost a request has ended.
+//! Finds out whether a replica that lost a request has crashed.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,10 +12,10 @@
 use crate::router::Router;
 
 impl Router {
-    /// Notes that the connection on which `request` was in progress at `replica` was lost.
+    /// Records that the connection on which `request` was in progress at `replica` was lost.
     ///
-    /// Only of a request that nobody has answered yet: one that was answered does not end
-    /// replicas, and most losses are no end, so that few are looked into.
+    /// Only losses of unanswered requests are recorded: a request that has been answered does not
+    /// crash replicas, and most losses are not crashes, so that few of them need a probe.
     pub(crate) fn record_loss(self: &Rc<Self>, request: &Request, replica: &Arc<ReplicaEntry>) {
         if request.learnt.is_answered.get() {
             return;
@@ -40,8 +40,8 @@
     async fn probe_lost_replica(&self, replica: &Arc<ReplicaEntry>) {
         let view = self.shared.view.load_full();
         let accepted = view.accepted_connections(&replica.service);
-        let most = view.most_connections(&replica.zone, accepted);
-        let listens = match self.backend.reach(Arc::clone(replica), most).await {
+        let max_connections = view.most_connections(&replica.zone, accepted);
+        let listens = match self.backend.reach(Arc::clone(replica), max_connections).await {
             Ok(()) => "yes",
             Err(PartFailure::NotListening) => "no",
             Err(_) => "unknown",
--- a/crates/router/src/model.rs
+++ b/crates/router/src/model.rs
@@ -1,4 +1,4 @@
-//! A caller's request and its outcome, in no particular protocol's terms.
+//! Protocol-independent model of a caller's request and its outcome.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::sync::Arc;
@@ -13,47 +13,49 @@
 
 use crate::backend::Reply;
 
-/// One attempt of a caller.
+/// One attempt of a caller's request.
 #[derive(Debug)]
 pub struct Request {
-    /// The caller's id of this attempt.
+    /// Caller's identifier of this attempt.
     pub id: HeaderValue,
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Host that the caller named.
+    /// Requested host.
     pub host: String,
-    /// Path and query, as sent.
+    /// Path and query as received.
     pub path: PathAndQuery,
-    /// Headers to be forwarded.
+    /// Headers to forward.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// When its head was read.
+    /// Time at which the request head was read.
     pub arrived: Instant,
-    /// Time that the caller waits, in milliseconds; `None` if it does not say.
+    /// Time that the caller waits, in milliseconds; `None` if unspecified.
     pub deadline_ms: Option<u64>,
-    /// What shows while it is served.
+    /// State gathered while the request is served.
     pub learnt: Learnt,
 }
 
-/// What shows of a request while it is served.
+/// State gathered while a request is served.
 #[derive(Debug, Default)]
 pub struct Learnt {
     fingerprint: OnceCell<Fingerprint>,
-    /// Whether a replica has answered it, in whatever way: it does not end those that run it.
+    /// True if a replica has answered the request, with any status.
+    ///
+    /// An answered request does not crash replicas.
     pub(crate) is_answered: Cell<bool>,
-    /// Replicas on which it was tried by itself, since others had ended under it.
+    /// Replicas on which the request was tried in isolation because others had crashed during it.
     pub(crate) isolated_trials: RefCell<Vec<Arc<str>>>,
 }
 
 impl Request {
-    /// The id as text, for logs.
+    /// Returns the identifier as text for logs.
     #[must_use]
     pub fn id_text(&self) -> &str {
         self.id.to_str().unwrap_or("?")
     }
 
-    /// By what it is known when its caller sends it again.
+    /// Returns a fingerprint that is the same for each attempt of the request.
     #[must_use]
     pub fn fingerprint(&self) -> Fingerprint {
         let parts: [&[u8]; 4] = [
@@ -66,24 +68,24 @@
     }
 }
 
-/// An answer that was merged from the parts of several shards.
+/// Answer merged from the parts of several shards.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Merged {
-    /// The greatest records, greatest first.
+    /// Top records in descending order.
     pub body: Bytes,
-    /// Signature of each part that is in.
+    /// Signature of each included part.
     pub signatures: Vec<Bytes>,
-    /// Shards that are left out.
+    /// Number of shards without a part.
     pub missing: usize,
 }
 
-/// What a request came to.
+/// Outcome of a request.
 #[derive(Debug)]
 pub enum Outcome {
-    /// A replica's own answer, success or failure.
+    /// A replica's own answer, success or error.
     Relayed(Reply),
-    /// An answer from several shards.
+    /// An answer merged from several shards.
     Merged(Merged),
-    /// No answer; the verdict says whether it may have run.
+    /// No answer; the verdict tells whether the request may have run.
     Refused(Refusal),
 }
--- a/crates/router/src/outcome.rs
+++ b/crates/router/src/outcome.rs
@@ -1,4 +1,4 @@
-//! From what was gathered to what the caller gets, and the line that tells it.
+//! Builds the outcome for the caller from the gathered results, and logs it.
 
 use eelgrasspier_decide::merge::Greatest;
 use eelgrasspier_decide::prelude::{Refusal, RefusalReason};
@@ -7,17 +7,19 @@
 use crate::gather::Gathered;
 use crate::model::{Merged, Outcome, Request};
 
-/// When to come back where no replica is known: the list is a second old at the most.
+/// Retry delay sent to callers if no replica is known, in milliseconds.
+///
+/// The list of replicas is at most a second old.
 const NO_REPLICA_RETRY_MS: u64 = 300;
 
-/// The outcome of a request to one replica.
+/// Returns the outcome of a request to a single service.
 pub(crate) fn single_outcome(gathered: Gathered) -> Outcome {
     let refusal = gathered.refusal(NO_REPLICA_RETRY_MS);
     let reply = gathered.replies.into_iter().next().map(|(_, reply)| reply);
     reply.or(gathered.failure).map_or(Outcome::Refused(refusal), Outcome::Relayed)
 }
 
-/// The outcome of a request to `total` shards.
+/// Returns the outcome of a request to `total` shards.
 pub(crate) fn merged_outcome(route: &Route, total: usize, gathered: Gathered) -> Outcome {
     let (covered, wanted) = (gathered.parts(), route.least_shards(total));
     if covered < wanted {
@@ -37,7 +39,7 @@
     Outcome::Merged(Merged { body: greatest.into_bytes().into(), signatures, missing })
 }
 
-/// The refusal of a request of which too few shards are in.
+/// Returns the refusal of a request with too few covered shards.
 fn coverage_refusal(gathered: &Gathered, covered: usize, wanted: usize) -> Refusal {
     let refusal = gathered.refusal(NO_REPLICA_RETRY_MS);
     if refusal.reason != RefusalReason::AnswerLost {
@@ -48,7 +50,7 @@
     Refusal { reason, ..refusal }
 }
 
-/// The cause of a refusal, as a label.
+/// Returns the metric label for the cause of a refusal.
 fn cause_label(reason: &RefusalReason) -> &'static str {
     match reason {
         RefusalReason::Overloaded => "overloaded",
@@ -63,7 +65,7 @@
     }
 }
 
-/// Writes the line of a request and counts it.
+/// Logs the outcome of a request and updates its metrics.
 pub(crate) fn record_outcome(request: &Request, route: &str, version: u64, outcome: &Outcome) {
     let took = request.arrived.elapsed();
     let (name, detail) = match outcome {
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -1,4 +1,4 @@
-//! Both sides of a question between instances: asking, and gathering for the asker.
+//! Relaying between instances: sending relay requests, and gathering for other instances.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,12 +22,14 @@
 use crate::view::{Peer, View};
 use crate::zone_bytes::{self, Cause};
 
-/// Time after which a link without an answer is closed; a frozen instance is back within
-/// seconds, but a connection that has gone silent stays so.
+/// Time after which a link without a response is closed.
+///
+/// A frozen instance resumes within seconds, but a connection that has stopped responding does not
+/// recover.
 const LINK_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Router {
-    /// Whether this instance holds connections to its zone's replicas of a shard.
+    /// True if this instance holds connections to the replicas of a service in its own zone.
     pub(crate) fn gathers(&self, view: &View, service: &str) -> bool {
         if !view.is_gatherer || !view.is_sliced(&self.zone) {
             return view.is_gatherer;
@@ -38,7 +40,7 @@
         gatherers::owner(service, &all) == Some(0)
     }
 
-    /// Instances that answered lately, or were not asked for a while.
+    /// Returns the instances that answered recently or have not been used for a while.
     pub(crate) fn healthy_peers<'v>(&self, view: &'v View) -> Vec<&'v Peer> {
         let now_ms = self.shared.now_ms();
         let is_healthy = |p: &&Peer| {
@@ -48,7 +50,7 @@
         view.gatherers.iter().filter(is_healthy).collect()
     }
 
-    /// The instance of a zone that is expected to answer first; `turn` breaks ties.
+    /// Returns the instance of a zone with the lowest expected latency; `tie_breaker` rotates ties.
     pub(crate) fn best_peer<'v>(
         &self,
         peers: &[&'v Peer],
@@ -66,7 +68,7 @@
         near.into_iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))
     }
 
-    /// Asks another instance and learns from how it ends.
+    /// Sends a request to another instance and updates its statistics with the result.
     pub(crate) async fn send_to_peer(
         self: Rc<Self>,
         peer: Peer,
@@ -97,7 +99,7 @@
             Ok(other) => {
                 standing.borrow_mut().failed(self.shared.now_ms());
                 log::warn!("event=relay_refused peer={} answer={other:?}", peer.name);
-                Err(PeerError::NotReached("the instance refused".to_owned()))
+                Err(PeerError::NotReached("instance refused the request".to_owned()))
             }
             Err(error) => {
                 standing.borrow_mut().failed(self.shared.now_ms());
@@ -106,15 +108,15 @@
         }
     }
 
-    /// Whether an instance answers at all.
+    /// True if an instance responds within `timeout`.
     pub(crate) async fn is_alive(&self, peer: &Peer, timeout: Duration) -> bool {
         let peer_request = Body::Alive(wire::Nothing {});
-        // The link is kept: an answer that is late may still come on it.
+        // The link outlives this timeout, since a late response may still arrive on it.
         let asking = self.links.ask(peer.addr, peer_request, LINK_RESPONSE_TIMEOUT);
         matches!(tokio::time::timeout(timeout, asking).await, Ok(Ok(Body::Alive(_))))
     }
 
-    /// Notes that an instance does not answer.
+    /// Records that an instance does not respond.
     pub(crate) fn record_unresponsive(&self, peer: &Peer) {
         let standing = self.standing(&peer_key(&peer.name));
         standing.borrow_mut().failed(self.shared.now_ms());
@@ -123,7 +125,7 @@
     /// Gathers shards for another instance and merges them.
     pub async fn gather_for_peer(self: &Rc<Self>, peer_request: wire::Gather) -> wire::Gathered {
         if peer_request.time_left_ms == 0 {
-            // It was held up on its way until the caller's time was over.
+            // The request was delayed in transit until the caller's deadline had expired.
             log::info!("event=question_too_late route={}", peer_request.route);
             return wire::Gathered::default();
         }
@@ -197,7 +199,7 @@
     }
 }
 
-/// The caller's request; `None` if it could never have come from a caller.
+/// Rebuilds the caller's request; returns `None` if it is not a valid HTTP request.
 fn to_request(peer_request: wire::Gather) -> Option<Request> {
     let mut headers = HeaderMap::new();
     for wire::Header { name, value } in peer_request.headers {
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -1,4 +1,4 @@
-//! The traffic thread's state: standings, budgets, latencies; and the way of a request.
+//! State of the traffic thread (replica statistics, retry budgets, latencies) and request routing.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -29,40 +29,44 @@
 use crate::view::{Shared, View};
 use crate::zone_bytes::{self, Cause};
 
-/// When to come back to an instance that knows no configuration yet, at first: one that
-/// finds the store up has read it within 30 ms.
+/// Minimum retry delay sent to callers while no configuration is loaded.
+///
+/// An instance that starts with the store available has read the configuration within 30 ms.
 const MIN_NOT_READY_RETRY_MS: u64 = 40;
-/// The same, at most: it learns a configuration within a second of the store's return.
+/// Maximum retry delay sent to callers while no configuration is loaded.
+///
+/// A configuration is loaded within a second after the store becomes available again.
 const MAX_NOT_READY_RETRY_MS: u64 = 1_000;
-/// Kept of the caller's deadline for the way to and from the caller and for merging.
+/// Part of the caller's deadline reserved for network transfer and for merging the answer.
 const DEADLINE_MARGIN_MS: u64 = 10;
-/// Cost, in multiples of the usual latency, from which another instance is not asked.
+/// Cost, in multiples of the typical latency, at which a peer instance receives no more requests.
 pub(crate) const UNHEALTHY_PEER_COST: f64 = 4.0;
-/// Questions that another instance answers side by side without delay.
+/// Requests that a peer instance serves concurrently without queueing.
 pub(crate) const PEER_SLOTS: u32 = 8;
-/// Share of the target latency by which a replica in another zone must be expected to
-/// answer sooner.
+/// Divisor of the target latency that gives the cost penalty for a replica in another zone.
 ///
-/// An answer that is in time anyway gains nothing by coming sooner, and bytes between zones
-/// are dear: with a fixed 1.5 times the usual latency in its place a quarter of all first
-/// sends crossed zones, mostly around a queue of one.
+/// A faster answer has no benefit if a local one meets the target, and traffic between zones is
+/// expensive. A fixed penalty of 1.5 times the typical latency sent a quarter of all first sends to
+/// other zones, mostly because of a queue of one request.
 const CROSS_ZONE_PENALTY_DIVISOR: f64 = 4.0;
 
-/// State by a name that the store lists, so that nobody picks names that collide: each send
-/// looks up a dozen, and the standard hash took a twentieth of its instructions.
+/// Map keyed by names from the store.
+///
+/// The names are trusted, so no protection against hash collisions is needed. Each send does about
+/// a dozen look-ups, and the standard hasher took 5 % of the instructions of a send.
 type NameMap<T> = HashMap<Arc<str>, T, foldhash::fast::RandomState>;
 
-/// The traffic thread's state.
+/// State of the traffic thread.
 pub struct Router {
     pub(crate) shared: Arc<Shared>,
     pub(crate) backend: Rc<dyn Backend>,
     pub(crate) zone: Arc<str>,
-    /// Key of this instance in rendezvous order.
+    /// Hash of this instance's name for rendezvous hashing.
     pub(crate) key: u64,
     pub(crate) links: Links,
     limits: Cell<RepeatLimits>,
     pub(crate) standings: RefCell<NameMap<Rc<RefCell<Standing>>>>,
-    /// Marks of replicas that other instances find slow, with when that was too long ago.
+    /// Expiry times of replicas that peer instances reported as slow, by replica mark.
     pub(crate) slow_until_ms: RefCell<HashMap<u32, u64>>,
     retry_budgets: RefCell<NameMap<Allowance>>,
     routes: RefCell<HashMap<Arc<str>, Rc<RouteState>>>,
@@ -79,7 +83,7 @@
 }
 
 impl Router {
-    /// The state of the traffic thread of the instance `name` in the zone `zone`.
+    /// Creates the traffic thread's state for the instance `name` in the availability zone `zone`.
     #[must_use]
     pub fn new(
         shared: Arc<Shared>,
@@ -93,7 +97,7 @@
             backend,
             zone,
             key: rendezvous::hash(name),
-            // Nobody orders these frames, so they carry no clock stamp.
+            // These messages need no ordering, so the clock stamp is constant.
             links: Links::new(Rc::new(|| 0)),
             limits: Cell::new(limits),
             standings: RefCell::default(),
@@ -107,14 +111,14 @@
         })
     }
 
-    /// Bounds on callers, as of the configuration in force.
+    /// Returns the limits for callers from the current configuration.
     #[must_use]
     pub fn caller_limits(&self) -> eelgrasspier_decide::route::CallerLimits {
         let view = self.shared.view.load();
         view.configuration.as_ref().map(|c| c.limits).unwrap_or_default()
     }
 
-    /// Serves one request; dropped, whatever is on its way is cancelled.
+    /// Serves one request; dropping the future cancels everything that is in flight.
     pub async fn serve(self: &Rc<Self>, request: Request) -> Outcome {
         let view = self.shared.view.load_full();
         let version = view.configuration.as_ref().map_or(0, |c| c.version);
@@ -132,7 +136,7 @@
 
     fn resolve_route(&self, view: &View, request: &Request) -> Result<Arc<Route>, Refusal> {
         if !view.is_ready() {
-            // The longer it has lasted, the longer it is likely to last.
+            // Backs off in proportion to the time since the start.
             let retry_after_ms =
                 (self.shared.now_ms() / 2).clamp(MIN_NOT_READY_RETRY_MS, MAX_NOT_READY_RETRY_MS);
             return Err(Refusal::not_run(RefusalReason::NotReady, Some(retry_after_ms)));
@@ -179,7 +183,7 @@
         let limit_ms = deadline_ms.min(route.timeout_ms);
         let margin_ms = DEADLINE_MARGIN_MS.min(limit_ms / 4);
         let target_ms = match &route.target {
-            // One answer is all or nothing, so that there is nothing to stop short of.
+            // A single answer can't be partial, so there is no reason to stop before the deadline.
             Target::Service(_) | Target::Split(_) => limit_ms,
             Target::Shards(_) => {
                 let target_ms = route.target_latency_ms;
@@ -201,28 +205,28 @@
         Rc::clone(self.standings.borrow_mut().entry(Arc::clone(id)).or_default())
     }
 
-    /// Whether another replica is known to have the address of this one.
+    /// True if another replica is known to have taken over this one's address.
     pub(crate) fn is_replaced(&self, replica: &ReplicaEntry) -> bool {
         let standings = self.standings.borrow();
         standings.get(&replica.id).is_some_and(|s| s.borrow().is_replaced())
     }
 
-    /// Puts other regions of the zones in force.
+    /// Replaces the mapping of availability zones to regions.
     pub fn set_regions(&self, regions: Regions) {
         *self.regions.borrow_mut() = regions;
     }
 
-    /// Whether requests with these home regions may go to a zone.
+    /// True if requests with these home regions may be sent to the zone.
     pub(crate) fn is_home(&self, homes: &[Arc<str>], zone: &str) -> bool {
         self.regions.borrow().is_home(homes, zone)
     }
 
-    /// Puts other limits for repeats in force.
+    /// Replaces the retry budget limits.
     pub(crate) fn set_repeat_limits(&self, limits: RepeatLimits) {
         self.limits.set(limits);
     }
 
-    /// Notes a request whose first send goes to `service`.
+    /// Records a request whose first send goes to `service`, which earns retry budget.
     pub(crate) fn record_request(&self, service: &Arc<str>) {
         let now_ms = self.shared.now_ms();
         let mut retry_budgets = self.retry_budgets.borrow_mut();
@@ -232,7 +236,7 @@
             .note_request(&self.limits.get(), now_ms);
     }
 
-    /// Time after which a second send may follow one to `replica`, in milliseconds.
+    /// Returns the delay before a send to `replica` may be hedged, in milliseconds.
     pub(crate) fn hedge_delay_ms(
         &self,
         view: &View,
@@ -249,7 +253,7 @@
         wait_ms + if is_scarce { timing.low_budget_hedge_delay_ms } else { timing.hedge_delay_ms }
     }
 
-    /// Takes one second send to `service` from the budget, if there is one.
+    /// Takes one extra send to `service` from its retry budget; false if the budget is empty.
     pub(crate) fn try_take_retry(&self, service: &Arc<str>, view: &View) -> bool {
         let now_ms = self.shared.now_ms();
         let mut retry_budgets = self.retry_budgets.borrow_mut();
@@ -257,7 +261,9 @@
         retry_budget.take(&self.limits.get(), view.slack_sharers, now_ms)
     }
 
-    /// Expected latency of one more request in milliseconds, with what crossing zones costs.
+    /// Returns the expected latency of one more request, in milliseconds.
+    ///
+    /// Includes the cross-zone penalty.
     pub(crate) fn cost_ms(&self, replica: &ReplicaEntry, timing: &Timing, budget_used: f64) -> f64 {
         let cross_zone_ms = if replica.zone == self.zone {
             0.0
@@ -267,7 +273,7 @@
         self.estimate(replica, timing, budget_used).cost_ms + cross_zone_ms
     }
 
-    /// Part of the budget for repeats of a service that is spent, from 0 to 1.
+    /// Returns the used fraction of the retry budget of `service`, from 0 to 1.
     pub(crate) fn retry_budget_used(&self, service: &Arc<str>, view: &View) -> f64 {
         let now_ms = self.shared.now_ms();
         let mut retry_budgets = self.retry_budgets.borrow_mut();
@@ -275,7 +281,7 @@
         retry_budget.spent(&self.limits.get(), view.slack_sharers, now_ms)
     }
 
-    /// What is expected of one more request to a replica.
+    /// Estimates the latency of one more request to `replica`.
     pub(crate) fn estimate(
         &self,
         replica: &ReplicaEntry,
@@ -293,7 +299,7 @@
         }
     }
 
-    /// Sends one attempt and learns from how it ends.
+    /// Sends one attempt and updates the replica's statistics with the result.
     pub(crate) async fn send(
         self: Rc<Self>,
         attempt: Attempt,
@@ -320,13 +326,13 @@
             Ok(reply) => {
                 self.record_answered(&request);
                 zone_bytes::count(Cause::Replica, is_cross_zone, reply.body.len());
-                // A replica counts the request that it is answering.
+                // The reported load includes the request that was just answered.
                 standing.reported(reply.load.unwrap_or(0).saturating_sub(1), now_ms);
                 if reply.status.is_server_error() {
                     standing.failed(now_ms);
                 } else {
                     standing.answered(took.as_secs_f64() * 1000.0, expected_ms, now_ms);
-                    // Without the part of it that the queue accounts for.
+                    // Excludes the estimated time in the replica's queue.
                     let worked = took.mul_f64(work_ms / expected_ms.max(work_ms));
                     state.record_exchange(worked, now_ms);
                 }
@@ -335,7 +341,7 @@
                 standing.reported(report.load.unwrap_or(replica.slots), now_ms);
                 standing.shed(now_ms);
             }
-            // The own limit says nothing of the replica.
+            // The connection limit is local and says nothing about the replica.
             Err(PartFailure::Crowded) => {}
             Err(PartFailure::Misdirected) => {
                 log::info!("event=replica_replaced replica={} addr={}", replica.id, replica.addr);
@@ -352,23 +358,23 @@
     }
 }
 
-/// Key of another instance among the standings.
+/// Returns the key of a peer instance in the map of replica statistics.
 pub(crate) fn peer_key(name: &str) -> Arc<str> {
     format!("instance {name}").into()
 }
 
-/// What is expected of one more request to a replica, in milliseconds.
+/// Latency estimate for one more request to a replica, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Estimate {
-    /// Time to its answer, by the replica's queue and speed.
+    /// Time until the answer, from the replica's queue and speed.
     pub(crate) answer_ms: f64,
-    /// The same, with a charge for failures and silence.
+    /// `answer_ms` with a penalty for recent failures and missing answers.
     pub(crate) cost_ms: f64,
-    /// Time that it waits for a slot.
+    /// Time spent waiting for a slot.
     pub(crate) wait_ms: f64,
 }
 
-/// A request in progress at a replica, until dropped.
+/// Counts a request as in flight at a replica until dropped.
 pub(crate) struct InFlightGuard {
     standing: Rc<RefCell<Standing>>,
     sent_ms: u64,
--- a/crates/router/src/suspects.rs
+++ b/crates/router/src/suspects.rs
@@ -1,4 +1,4 @@
-//! What the traffic thread knows of requests that end replicas, and what it tells of them.
+//! The traffic thread's view of requests that crash replicas, and its reports to other instances.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -17,34 +17,37 @@
 use crate::model::Request;
 use crate::router::Router;
 
-/// Time after which others are told of a single replica that has ended under a request: mostly
-/// it is answered by another replica before, and nothing is told of it.
+/// Delay before a single crash during a request is reported to other instances.
+///
+/// Another replica usually answers the request first, and then no report is needed.
 const REPORT_DELAY: Duration = Duration::from_millis(25);
 
-/// Requests under which replicas have ended.
+/// Requests during which replicas have crashed.
 #[derive(Debug, Default)]
 pub(crate) struct Suspects {
     quarantine: RefCell<Quarantine>,
-    /// Those of which others have not been told the latest.
+    /// Requests whose latest findings have not been reported yet.
     pending_reports: RefCell<BTreeSet<Fingerprint>>,
     report_notify: Notify,
-    /// Whether others are to be told at once: a caller whose request has failed comes to another
-    /// instance within milliseconds, and then it must be known there.
+    /// True if the report must not be delayed.
+    ///
+    /// A caller whose request has failed reaches another instance within milliseconds, which must
+    /// know of the finding by then.
     is_urgent: Cell<bool>,
 }
 
 impl Router {
-    /// How a request is treated.
+    /// Returns how a request is treated.
     pub(crate) fn treatment(&self, fingerprint: Fingerprint) -> Treatment {
         self.suspects.quarantine.borrow().treatment(fingerprint, self.shared.now_ms())
     }
 
-    /// What is known of a request, for another instance that works for it.
+    /// Returns the findings on a request, to be sent along with it to another instance.
     pub(crate) fn report_on(&self, fingerprint: Fingerprint) -> Option<Report> {
         self.suspects.quarantine.borrow().report(fingerprint, self.shared.now_ms())
     }
 
-    /// Notes that a replica has answered a request.
+    /// Records that a replica has answered a request.
     pub(crate) fn record_answered(&self, request: &Request) {
         if request.learnt.is_answered.replace(true) {
             return;
@@ -56,14 +59,14 @@
         self.publish_finding(fingerprint, finding);
     }
 
-    /// Notes that a replica has ended while it ran a request.
+    /// Records that a replica has crashed while it ran a request.
     pub(crate) fn record_crash(&self, ended: Ended) {
         let now_ms = self.shared.now_ms();
         let finding = self.suspects.quarantine.borrow_mut().note_ended(ended, now_ms);
         self.publish_finding(ended.request, finding);
     }
 
-    /// Takes in what other instances know; `source` says how it came.
+    /// Merges reports of other instances; `source` names the channel for the log.
     pub(crate) fn merge_reports(&self, reports: &[Report], source: &str) {
         for report in reports {
             let fingerprint = Fingerprint(report.fingerprint);
@@ -72,8 +75,9 @@
         }
     }
 
-    /// Whether a request may be tried on a replica by itself now; another of the same waits for
-    /// up to `most_ms`.
+    /// Starts an isolated trial of a request on a replica; returns false if one is in progress.
+    ///
+    /// Further trials of the same request wait for up to `max_ms` milliseconds.
     pub(crate) fn begin_trial(
         &self,
         request: &Request,
@@ -92,14 +96,14 @@
         true
     }
 
-    /// Notes the end of a send that may have been such a trial.
+    /// Ends the isolated trial, if the send was one.
     pub(crate) fn end_trial(&self, request: &Request, replica: &ReplicaEntry) {
         if request.learnt.isolated_trials.borrow().contains(&replica.id) {
             self.suspects.quarantine.borrow_mut().end_trial(request.fingerprint());
         }
     }
 
-    /// Writes down what was found out here, and has others told.
+    /// Logs a local finding and schedules a report to other instances.
     fn publish_finding(&self, fingerprint: Fingerprint, finding: Finding) {
         self.log_finding(fingerprint, finding, "own");
         if matches!(finding, Finding::Suspected | Finding::Refused) {
@@ -135,7 +139,7 @@
         f64::from(u32::try_from(count).unwrap_or(u32::MAX))
     }
 
-    /// Tells the control thread what was found out, for as long as that runs.
+    /// Sends local findings to the control thread until its channel closes.
     pub(crate) async fn tell_findings(self: Rc<Self>, control: mpsc::UnboundedSender<Ask>) {
         loop {
             self.suspects.report_notify.notified().await;
@@ -155,7 +159,7 @@
         }
     }
 
-    /// Takes in what the control thread hears from other instances, for as long as that runs.
+    /// Merges reports of other instances, received by the control thread, until its channel closes.
     pub(crate) async fn hear_findings(
         self: Rc<Self>,
         mut reports_rx: mpsc::UnboundedReceiver<Vec<Report>>,
--- a/crates/router/src/told.rs
+++ b/crates/router/src/told.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other of replicas with their answers: busy ones and slow ones.
+//! Load reports on replicas, which instances attach to their answers to each other.
 
 use std::sync::Arc;
 
@@ -10,16 +10,19 @@
 use crate::router::Router;
 use crate::view::View;
 
-/// Cost, in multiples of the usual latency, from which a replica is called slow: an idle one
-/// costs 1, one with both slots in use 2, one that is four times slower or fails more.
+/// Cost, in multiples of the typical latency, from which a replica is reported as slow.
+///
+/// An idle replica costs 1, one with both slots in use 2; one that is four times slower or failing
+/// costs more.
 const SLOW_COST_RATIO: f64 = 3.0;
-/// Time for which a replica counts as slow after another instance has said so, in
-/// milliseconds: each shard is asked for some tens of times a second, and a pause lasts 100.
+/// Time for which a replica counts as slow after another instance has reported it, in milliseconds.
+///
+/// Each shard receives some tens of requests per second, and a pause lasts 100 ms.
 const SLOW_MARK_TTL_MS: u64 = 300;
 
-/// Ratio from which a replica's is told to others; less is within what answers vary by.
+/// Latency ratio from which a replica is reported; lower values are within normal variation.
 const MIN_REPORTED_RATIO: f64 = 1.5;
-/// A small figure, rounded.
+/// Rounds a small number to an integer.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -30,7 +33,7 @@
 }
 
 impl Router {
-    /// What is known of the replicas of some services that are busy or slow.
+    /// Returns load reports on the busy or slow replicas of some services.
     pub(crate) fn busy_replicas(&self, view: &View, services: &[Arc<str>]) -> Vec<wire::Busy> {
         let now_ms = self.shared.now_ms();
         let standings = self.standings.borrow();
@@ -48,7 +51,7 @@
         listed.filter_map(busy).collect()
     }
 
-    /// Notes what another instance knows of the replicas of some services.
+    /// Records another instance's load reports on the replicas of some services.
     pub(crate) fn record_busy<'s>(
         &self,
         view: &View,
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Marks of the replicas of some services that are slow, paused or failing.
+    /// Returns the marks of the replicas of some services that are slow, paused or failing.
     pub(crate) fn slow_replicas(&self, view: &View, services: &[Arc<str>]) -> Vec<u32> {
         let now_ms = self.shared.now_ms();
         let standings = self.standings.borrow();
@@ -80,7 +83,7 @@
         listed.filter(is_slow).map(|r| relays::mark(&r.id)).collect()
     }
 
-    /// Notes which replicas another instance finds slow.
+    /// Records replicas that another instance reports as slow.
     pub(crate) fn record_slow(&self, marks: &[u32]) {
         let now_ms = self.shared.now_ms();
         let mut slow = self.slow_until_ms.borrow_mut();
@@ -88,7 +91,7 @@
         slow.extend(marks.iter().map(|&mark| (mark, now_ms + SLOW_MARK_TTL_MS)));
     }
 
-    /// Whether another instance has lately found a replica slow.
+    /// True if another instance has recently reported a replica as slow.
     pub(crate) fn is_slow(&self, mark: u32) -> bool {
         let until_ms = self.slow_until_ms.borrow().get(&mark).copied();
         until_ms.is_some_and(|until_ms| until_ms > self.shared.now_ms())
