--- a/crates/router/tests/overload.rs
+++ b/crates/router/tests/overload.rs
@@ -1,4 +1,4 @@
-//! What is refused before anything runs, what is left out, and what is cancelled.
+//! Admission control: requests refused before any send, shards left out, and cancellation.
 
 mod common;
 
@@ -8,8 +8,8 @@
 use eelgrasspier_peer::wire;
 use eelgrasspier_router::Outcome;
 
-/// Teaches a router that both replicas of a shard answer far too late.
-async fn teach_slow(world: &World, shards: &[usize]) {
+/// Makes a router measure that both replicas of a shard answer far too late.
+async fn train_slow(world: &World, shards: &[usize]) {
     for shard in shards {
         for replica in ["a", "b"] {
             world.script.set(&format!("s{shard}/{replica}"), Conduct::Answers(350));
@@ -25,15 +25,15 @@
     refusal
 }
 
-/// Symptom: with two of four shards over full every request was sent to all four, and failed
-/// when its time was over.
-/// Sequence: both replicas of two shards were slow; a request can miss one shard only.
-/// Cause: what was known of the replicas was not asked before the request was sent.
+/// A request whose missing shards exceed the limit must be refused before any send. With both
+/// replicas of two of four shards overloaded, and one shard allowed to be missing, every request
+/// used to be sent to all shards and failed at its deadline, because the replicas' load was not
+/// checked first.
 #[test]
-fn what_surely_can_not_be_served_is_refused_at_once_and_runs_nowhere() {
+fn a_request_that_can_not_succeed_is_refused_before_any_send() {
     in_virtual_time(async {
         let world = World::new(route(4), 4);
-        teach_slow(&world, &[1, 2]).await;
+        train_slow(&world, &[1, 2]).await;
         let before = world.script.arrivals.borrow().len();
         let started = tokio::time::Instant::now();
         let refusal = refusal(world.serve("r1", 400).await);
@@ -45,10 +45,10 @@
 }
 
 #[test]
-fn a_shard_that_would_be_late_is_left_out_where_the_answer_may() {
+fn a_late_shard_is_left_out_if_it_may_be_missing() {
     in_virtual_time(async {
         let world = World::new(route(4), 4);
-        teach_slow(&world, &[1]).await;
+        train_slow(&world, &[1]).await;
         let before = world.script.arrivals_at("s1/a") + world.script.arrivals_at("s1/b");
         let started = tokio::time::Instant::now();
         let Outcome::Merged(merged) = world.serve("r1", 400).await else { panic!("refused") };
@@ -58,11 +58,10 @@
     });
 }
 
-/// Symptom: replicas worked on parts of requests that had been given up.
-/// Sequence: two of four shards failed at once; the other two were still at work.
-/// Cause: sends of a request without an answer were let go like those that an answer outran.
+/// Sends of a failed request must be cancelled. Two of four shards failed, and the replicas of the
+/// other two kept working, because their sends were detached like those of an answered request.
 #[test]
-fn what_is_given_up_is_cancelled_and_says_how_many_shards_were_in() {
+fn a_failed_request_is_cancelled_and_reports_its_coverage() {
     in_virtual_time(async {
         let mut once = route(4);
         once.attempts = 1;
@@ -81,11 +80,10 @@
     });
 }
 
-/// Symptom: instances that ask others for shards sent full shards ever more.
-/// Sequence: the asked instance knew that a shard would be late; the asking one did not.
-/// Cause: nothing of it was told with the answer.
+/// An answer to a relay request must report left-out shards and slow replicas. Otherwise the
+/// requesting instance does not know that a shard is overloaded and keeps sending to it.
 #[test]
-fn an_asked_instance_tells_what_it_left_out_and_which_replicas_are_slow() {
+fn a_relay_answer_reports_left_out_shards_and_slow_replicas() {
     in_virtual_time(async {
         let world = World::new(route(4), 4);
         for replica in ["s1/a", "s1/b"] {
@@ -95,7 +93,7 @@
             world.serve(id, 400).await;
         }
         let both = ["s0/a", "s0/b", "s1/a", "s1/b"].map(relays::mark);
-        let question = wire::Gather {
+        let gather_request = wire::Gather {
             request_id: "r1".into(),
             method: "GET".to_owned(),
             host: "h".to_owned(),
@@ -111,13 +109,13 @@
             may_miss: 1,
             ..wire::Gather::default()
         };
-        let answer = world.router.gather_for_peer(question.clone()).await;
+        let answer = world.router.gather_for_peer(gather_request.clone()).await;
         assert_eq!((answer.parts.len(), answer.left_out), (1, vec![1]));
         let slow = ["s1/a", "s1/b"].map(relays::mark);
         assert!(slow.iter().all(|mark| answer.slow.contains(mark)));
-        // Where no shard may be missed, nothing is sent at all.
+        // If no shard may be missing, nothing is sent.
         let before = world.script.arrivals.borrow().len();
-        let strict = wire::Gather { may_miss: 0, ..question };
+        let strict = wire::Gather { may_miss: 0, ..gather_request };
         let answer = world.router.gather_for_peer(strict).await;
         assert_eq!((answer.parts.len(), answer.left_out), (0, vec![0, 1]));
         assert!(!answer.may_have_run);
@@ -125,30 +123,29 @@
     });
 }
 
-/// Symptom: the budget for repeats was spent within a second, and lost replicas were not made good.
-/// Sequence: shards were late; a millisecond before the target each was asked for once more.
-/// Cause: nobody asked whether the second send could still be in time.
+/// A shard must not be sent again if the second answer would be late. Late shards used to be
+/// retried a millisecond before the target, which emptied the retry budget within a second, so that
+/// lost replicas could not be compensated.
 #[test]
-fn nothing_is_sent_again_that_would_be_late() {
+fn a_shard_is_not_resent_if_it_would_be_late() {
     in_virtual_time(async {
         let world = World::new(route(4), 4);
         world.script.set("s1/a", Conduct::Loses(66));
         let Outcome::Merged(merged) = world.serve("r1", 400).await else { panic!("refused") };
         assert!(merged.missing <= 1);
-        let at_b = world.script.arrivals.borrow();
-        let last_ms = at_b.iter().filter(|a| a.replica == "s1/b").map(|a| a.at_ms).max();
+        let arrivals = world.script.arrivals.borrow();
+        let last_ms = arrivals.iter().filter(|a| a.replica == "s1/b").map(|a| a.at_ms).max();
         assert!(last_ms.is_none_or(|at_ms| at_ms < 60), "sent again after {last_ms:?} ms");
     });
 }
 
-/// Symptom: after all instances had lost power some refused each request of a route, for as long
-/// as the day lasted, with all replicas idle.
-/// Sequence: the first requests met connections that all instances opened at once, and took most
-/// of the target; the usual latency was learnt from these. What was refused taught nothing, and
-/// in a large fleet each instance gets a request in seconds only.
-/// Cause: a belief about the route alone could refuse a request, and never grew old.
+/// A high typical latency measured at the start must not cause refusals later. After a power loss
+/// of all instances the first requests were slow, because all instances opened connections at once.
+/// Some instances then refused each request of a route for the rest of the day although all
+/// replicas were idle: refused requests gave no new samples, in a large fleet each instance gets a
+/// request only every few seconds, and old samples did not expire.
 #[test]
-fn slow_answers_of_a_start_refuse_nobody_later() {
+fn slow_answers_at_start_cause_no_later_refusals() {
     in_virtual_time(async {
         let world = World::new(route(16), 16);
         let set_all = |conduct| {
@@ -170,12 +167,11 @@
     });
 }
 
-/// Symptom: requests failed with 26 of 87 shards in, 15 ms after they had come.
-/// Sequence: eight instances were asked; each left out up to four shards that it expected to be
-/// late, as many as the whole answer may miss, and together they left out six.
-/// Cause: each of them took the whole allowance for its own.
+/// The shards that may be missed must be divided among the relay requests. Eight instances each
+/// left out up to the limit of the whole request, four shards, and together they left out six:
+/// requests failed after 15 ms with 26 of 87 shards covered.
 #[test]
-fn an_asked_instance_leaves_out_its_own_part_of_what_may_be_missed() {
+fn a_relay_leaves_out_only_its_share_of_allowed_misses() {
     in_virtual_time(async {
         let world = World::new(route(4), 4);
         for shard in [1, 2] {
@@ -187,7 +183,7 @@
             world.serve(id, 400).await;
         }
         let marks = (0..4).flat_map(|s| ["a", "b"].map(|r| relays::mark(&format!("s{s}/{r}"))));
-        let question = wire::Gather {
+        let gather_request = wire::Gather {
             request_id: "r1".into(),
             method: "GET".to_owned(),
             host: "h".to_owned(),
@@ -203,21 +199,22 @@
             may_miss: 4,
             ..wire::Gather::default()
         };
-        // Three of the four are for the shards of others: one is left out, the other is tried.
-        let part = wire::Gather { misses_of_others: 3, ..question.clone() };
+        // Three of the four misses are reserved for other shards: one shard is left out, the other
+        // tried.
+        let part = wire::Gather { misses_of_others: 3, ..gather_request.clone() };
         let answer = world.router.gather_for_peer(part).await;
         assert_eq!((answer.parts.len(), answer.left_out.len()), (2, 1));
-        let is_tried = |shard: &str| {
+        let was_sent = |shard: &str| {
             let arrivals = world.script.arrivals.borrow();
             arrivals.iter().any(|a| a.id == "r1" && a.replica.starts_with(shard))
         };
-        assert!(is_tried("s1/") != is_tried("s2/"));
-        // All four are: nothing is left out, and what is sure is there.
-        let none = wire::Gather { misses_of_others: 4, ..question.clone() };
+        assert!(was_sent("s1/") != was_sent("s2/"));
+        // All four misses are reserved: nothing is left out, and the fast shards are covered.
+        let none = wire::Gather { misses_of_others: 4, ..gather_request.clone() };
         let answer = world.router.gather_for_peer(none).await;
         assert_eq!((answer.parts.len(), answer.left_out.len()), (2, 0));
-        // More are late than the whole answer may miss: it can't be served, so nothing is sent.
-        let strict = wire::Gather { may_miss: 1, misses_of_others: 1, ..question };
+        // More shards are late than the whole answer may miss, so nothing is sent.
+        let strict = wire::Gather { may_miss: 1, misses_of_others: 1, ..gather_request };
         let answer = world.router.gather_for_peer(strict).await;
         assert_eq!((answer.parts.len(), answer.left_out.len()), (0, 4));
     });
--- a/crates/router/tests/places.rs
+++ b/crates/router/tests/places.rs
@@ -1,4 +1,4 @@
-//! Where replicas may be, and what is sent to those that are cold.
+//! Availability zones and regions of replicas, and the rate limit for cold replicas.
 
 mod common;
 
@@ -9,12 +9,10 @@
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_router::Outcome;
 
-/// Symptom: a request reached a replica seconds after its zone was evacuated.
-/// Sequence: a request was sent to one zone's replica, which stayed silent; the other zone was
-/// evacuated meanwhile, and the second send went there.
-/// Cause: a request went by what was listed when it came.
+/// A second send must use the current list of replicas. Requests used the list from their start, so
+/// that one reached a replica seconds after its zone had been evacuated.
 #[test]
-fn a_second_send_goes_by_what_is_listed_now() {
+fn a_second_send_uses_the_current_replica_list() {
     in_virtual_time(async {
         let world = World::new(route(1), 1);
         world.script.set("s0/a", Conduct::Silent);
@@ -35,11 +33,10 @@
     });
 }
 
-/// Symptom: a request ran in a region that is not its home.
-/// Sequence: its home's replica was silent; the second send went abroad.
-/// Cause: nobody knew where a request may run.
+/// Neither first nor second sends may leave the home region of a request. When the replica in the
+/// home region did not answer, the second send went to another region.
 #[test]
-fn neither_first_nor_second_sends_leave_the_home_region() {
+fn no_send_leaves_the_home_region() {
     in_virtual_time(async {
         let mut homed = route(1);
         homed.home_regions = ["coast".into()].into();
@@ -54,10 +51,10 @@
     });
 }
 
-/// Sequence: a replica is cold, and the other one warm: all go to the warm one but what the cold
-/// one stands; nothing does in the first second, when another may have counted before.
+/// A cold replica receives requests up to its rate limit and the warm one the others. The cold one
+/// receives nothing in the first second, when another instance may have counted its requests.
 #[test]
-fn a_cold_replica_gets_what_it_stands_and_the_warm_one_the_rest() {
+fn a_cold_replica_is_rate_limited_and_the_warm_one_gets_the_rest() {
     in_virtual_time(async {
         let world = World::new(route(1), 1);
         let mut cold = view(route(1), 1);
@@ -79,12 +76,11 @@
     });
 }
 
-/// Symptom: a cold replica got the share of several instances within a second.
-/// Sequence: instances that were cut off from all others started again; each knew nobody, took
-/// itself for the only one, and counted by itself.
-/// Cause: one that hears of nobody was only taken for cut off where it knew somebody.
+/// An instance that has lost contact to its fleet must not send to cold replicas. Instances that
+/// restarted while partitioned knew no peers, did not consider themselves cut off, and each used
+/// the full rate, so that a cold replica received several times its limit within a second.
 #[test]
-fn an_instance_that_knows_nobody_of_its_fleet_sends_nothing_to_cold_replicas() {
+fn an_instance_without_known_peers_sends_nothing_to_cold_replicas() {
     in_virtual_time(async {
         let world = World::new(route(1), 1);
         let mut now = view(route(1), 1);
--- a/crates/router/tests/sends.rs
+++ b/crates/router/tests/sends.rs
@@ -1,4 +1,4 @@
-//! How often, and to whom, a request is sent.
+//! Number and destination of the sends of a request.
 
 mod common;
 
@@ -8,10 +8,8 @@
 use eelgrasspier_decide::route::Target;
 use eelgrasspier_router::Outcome;
 
-/// Symptom: requests of a route that allows one replica ran on two.
-/// Sequence: the first replica was slow; a hedge went to the second before the first had
-/// answered or failed; both ran.
-/// Cause: only ended sends counted towards the attempts, not those on their way.
+/// Sends in flight must count towards the attempts of a route. Only finished sends were counted, so
+/// that a request limited to one replica was hedged and ran on two.
 #[test]
 fn a_route_with_one_attempt_is_never_hedged() {
     in_virtual_time(async {
@@ -19,7 +17,7 @@
         one.attempts = 1;
         let world = World::new(one, 3);
         world.script.set("s1/a", Conduct::Silent);
-        // Two of three shards are less than the least share.
+        // Two of three shards are less than the minimum share.
         assert!(matches!(world.serve("r1", 400).await, Outcome::Refused(_)));
         assert_eq!(world.script.arrivals_at("s1/a"), 1);
         assert_eq!(world.script.arrivals_at("s1/b"), 0);
@@ -39,11 +37,10 @@
     });
 }
 
-/// Symptom: a request that must not run twice ran on two replicas.
-/// Sequence: the first replica ran it and the answer was lost; it was sent again.
-/// Cause it guards against: taking a lost answer for one that did not run.
+/// A request that must not run twice must not be retried after a lost answer, since the replica may
+/// have run it.
 #[test]
-fn a_lost_answer_is_never_made_good_by_a_second_run() {
+fn a_non_idempotent_request_is_not_retried_after_a_lost_answer() {
     in_virtual_time(async {
         let mut single = route(1);
         single.target = Target::Service("s0".into());
@@ -57,7 +54,7 @@
 }
 
 #[test]
-fn a_shed_request_that_must_not_run_twice_moves_to_another_replica() {
+fn a_shed_non_idempotent_request_is_sent_to_another_replica() {
     in_virtual_time(async {
         let mut single = route(1);
         single.target = Target::Service("s0".into());
@@ -73,9 +70,8 @@
     });
 }
 
-/// Symptom: a refusal said "not run" while the request was being run.
-/// Sequence: the only replica did not answer until the caller's time was over.
-/// Cause it guards against: counting only ended sends when the verdict is drawn.
+/// The verdict must account for sends in flight. Otherwise a request whose replica does not answer
+/// before the deadline is reported as not run although it may be running.
 #[test]
 fn a_send_without_an_answer_may_have_run() {
     in_virtual_time(async {
@@ -91,11 +87,10 @@
     });
 }
 
-/// Symptom: replicas went on working for callers that had gone.
-/// Sequence: the caller closed its connection, which drops its request's future.
-/// Cause it guards against: sends that are tasks of their own outlive that future.
+/// Sends must be cancelled when the caller disconnects. They are separate tasks and could outlive
+/// the request's future, so that replicas work for callers that are gone.
 #[test]
-fn a_caller_that_goes_away_cancels_what_is_on_its_way() {
+fn a_caller_that_disconnects_cancels_its_sends() {
     in_virtual_time(async {
         let world = World::new(route(2), 2);
         world.script.set("s0/a", Conduct::Silent);
@@ -107,11 +102,10 @@
     });
 }
 
-/// Symptom: each hedge cost a new connection.
-/// Sequence: the hedge answered first; the first send was cancelled, closing its connection.
-/// Cause it guards against: cancelling what a replica is about to answer.
+/// A send that is overtaken by its hedge must not be cancelled. Cancelling it closes the
+/// connection, so that each hedge costs a new one.
 #[test]
-fn an_outrun_send_is_let_go_not_cancelled() {
+fn a_send_overtaken_by_its_hedge_is_not_cancelled() {
     in_virtual_time(async {
         let world = World::new(route(1), 1);
         world.script.set("s0/a", Conduct::Answers(60));
@@ -121,14 +115,12 @@
     });
 }
 
-/// Symptom: a service got 300 sends beyond the first of its requests, where 270 were
-/// allowed, though each instance had kept to its part of the budget.
-/// Sequence: replicas of another service crashed and their addresses went to this one;
-/// while the store was down their entries stayed listed, so that they were tried again and
-/// again, and each try reached a replica of this service.
-/// Cause: that another replica answers was taken for a failure that may pass.
+/// A replica whose address now belongs to another one must not be used again. Addresses of crashed
+/// replicas were reused by another service while their entries stayed listed during a store outage.
+/// Treating each response as a transient failure led to 300 extra sends where the budget allowed
+/// 270, although each instance kept to its share.
 #[test]
-fn a_replica_whose_address_another_has_is_sent_nothing_more() {
+fn a_replaced_replica_is_not_used_again() {
     in_virtual_time(async {
         let world = World::new(route(1), 1);
         world.script.set("s0/a", Conduct::Replaced);
@@ -141,13 +133,10 @@
     });
 }
 
-/// Symptom: a request failed at once though a sound replica was listed.
-/// Sequence: its first replica's address had gone to another service, and the budget for
-/// repeats was used up.
-/// Cause it guards against: paying for a repeat where the first send never reached the
-/// service.
+/// A retry after a send that reached another service must not use the retry budget. With an empty
+/// budget the request would fail although a healthy replica is listed.
 #[test]
-fn a_send_that_reached_another_service_is_made_good_without_the_budget() {
+fn a_misdirected_send_is_retried_without_the_retry_budget() {
     in_virtual_time(async {
         let limits = RepeatLimits { ratio_milli: 0, slack: 0, window_ms: 10_000 };
         let world = World::with_limits(route(1), 1, limits);
@@ -156,11 +145,10 @@
     });
 }
 
-/// Symptom: callers waited for replicas that were known to be gone.
-/// Sequence: both replicas of a service had been replaced; each request was sent to both.
-/// Cause it guards against: counting a replica that is gone as one that could be asked.
+/// A service whose replicas have all been replaced must refuse requests at once. Counting replaced
+/// replicas as available makes callers wait for nothing.
 #[test]
-fn a_service_whose_replicas_are_all_replaced_is_refused_at_once() {
+fn a_service_with_only_replaced_replicas_refuses_at_once() {
     in_virtual_time(async {
         let mut single = route(1);
         single.target = Target::Service("s0".into());
@@ -176,7 +164,7 @@
 }
 
 #[test]
-fn an_instance_with_little_processor_time_answers_earlier() {
+fn an_instance_with_little_cpu_capacity_answers_earlier() {
     in_virtual_time(async {
         for (capacity_milli, latest_ms) in [(500, 73), (120, 63)] {
             let world = World::new(route(4), 4);
@@ -195,13 +183,11 @@
     });
 }
 
-/// Symptom: a caller of a request that must not run twice could not try it again, though no
-/// replica had it.
-/// Sequence: its replicas were cut off; its time was over while the connections to them were
-/// still being set up.
-/// Cause: whatever was on its way at the end counted as sent.
+/// A send that no connection has carried must count as not run. Connections were still being set up
+/// at the deadline, and the sends counted as possibly run, so that callers could not retry a
+/// request that must not run twice.
 #[test]
-fn what_no_connection_has_carried_has_not_run() {
+fn a_request_that_no_connection_carried_has_not_run() {
     in_virtual_time(async {
         for is_idempotent in [true, false] {
             let mut once = route(1);
@@ -218,7 +204,7 @@
 }
 
 #[test]
-fn what_a_replica_has_and_does_not_answer_may_have_run() {
+fn a_request_without_an_answer_may_have_run() {
     in_virtual_time(async {
         for is_idempotent in [true, false] {
             let mut once = route(1);
--- a/crates/router/tests/suspects.rs
+++ b/crates/router/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which replicas end, and those that run beside them.
+//! Requests that crash replicas, and the requests that run beside them.
 
 mod common;
 
@@ -12,7 +12,7 @@
 const SHARDS: usize = 20;
 const DEADLINE_MS: u64 = 400;
 
-fn is_refused_for_ends(outcome: &Outcome) -> bool {
+fn is_quarantined(outcome: &Outcome) -> bool {
     matches!(outcome, Outcome::Refused(r) if r.reason == RefusalReason::EndsReplicas)
 }
 
@@ -24,18 +24,16 @@
     world.script.arrivals.borrow().len()
 }
 
-/// Symptom: one request ended both replicas of each of twenty shards, and did so again with each
-/// attempt of its caller.
-/// Sequence: the first sends ended a replica of each shard; each was sent once more to the other
-/// one; the caller came again.
-/// Cause: nothing was concluded from replicas that ended.
+/// A request that crashes replicas must be quarantined after two trials. Without a quarantine its
+/// first sends and retries crashed both replicas of each of twenty shards, and each further attempt
+/// of the caller did so again.
 #[test]
-fn a_request_that_ends_replicas_is_sent_no_more_after_two_trials() {
+fn a_request_that_crashes_replicas_is_quarantined_after_two_trials() {
     in_virtual_time(async {
         let world = World::new(route(SHARDS), SHARDS);
         let Outcome::Refused(refusal) = serve(&world, "ends", "r1").await else { panic!() };
         assert_eq!(refusal.verdict, Verdict::MayHaveRun);
-        // All first sends, one more before the second loss was seen, two trials.
+        // All first sends, one more before the second loss is detected, and two trials.
         let first = arrivals(&world);
         assert!(first <= SHARDS + 3, "{first}");
         world.script.start_all();
@@ -50,21 +48,21 @@
     });
 }
 
-/// Has the router see some usual requests, so that second sends are due early.
-async fn learn_usual_latency(world: &World) {
+/// Serves typical requests, so that the router sends hedges early.
+async fn train_latency(world: &World) {
     for number in 0..20 {
         let what = format!("usual-{number}");
         assert!(matches!(serve(world, &what, &what).await, Outcome::Merged(_)));
     }
 }
 
-/// Guards against a wave that ends both replicas of each shard: second sends that are due before
-/// anybody has answered, or has ended.
+/// Hedges must not crash the second replica of each shard. They may be due before any replica has
+/// answered or crashed.
 #[test]
-fn a_request_that_ends_replicas_late_ends_one_of_each_shard() {
+fn a_request_that_crashes_replicas_late_crashes_one_per_shard() {
     in_virtual_time(async {
         let world = World::new(route(SHARDS), SHARDS);
-        learn_usual_latency(&world).await;
+        train_latency(&world).await;
         let before = arrivals(&world);
         world.script.ends_after_ms.set(45);
         serve(&world, "ends", "r1").await;
@@ -73,13 +71,13 @@
     });
 }
 
-/// Guards against trials of one request that overlap, so that it reaches more replicas than the
-/// two whose ends would prove enough.
+/// Trials of one request must not overlap. Otherwise it reaches more replicas than the two whose
+/// crashes are sufficient proof.
 #[test]
-fn trials_of_a_request_that_ends_replicas_late_follow_one_another() {
+fn trials_of_a_request_that_crashes_replicas_late_do_not_overlap() {
     in_virtual_time(async {
         let world = World::new(route(SHARDS), SHARDS);
-        learn_usual_latency(&world).await;
+        train_latency(&world).await;
         world.script.ends_after_ms.set(75);
         serve(&world, "ends", "r1").await;
         let first = arrivals(&world);
@@ -93,7 +91,7 @@
 }
 
 #[test]
-fn one_that_goes_to_one_replica_is_refused_after_four() {
+fn a_single_shard_request_that_crashes_replicas_is_refused_after_four() {
     in_virtual_time(async {
         for is_idempotent in [true, false] {
             let mut single = route(1);
@@ -110,25 +108,23 @@
     });
 }
 
-/// Symptom: requests were refused for the ends that another one had caused.
-/// Sequence: some requests were in progress at all replicas that the ending one ended, in
-/// whatever phase.
-/// Cause it guards against: taking each request that was lost with a replica for the reason.
+/// Requests that run beside one that crashes replicas must be answered. They are in progress in
+/// different phases on all replicas that crash, and must not be taken for the cause.
 #[test]
-fn requests_beside_one_that_ends_replicas_are_answered() {
+fn requests_beside_one_that_crashes_replicas_are_answered() {
     in_virtual_time(async {
         let world = World::new(route(SHARDS), SHARDS);
         for round in 0..20 {
-            let ending = async {
+            let crashing = async {
                 tokio::time::sleep(Duration::from_millis(1 + round % 6)).await;
                 serve(&world, &format!("ends-{round}"), "ending").await
             };
-            let beside = async |number: u64| {
+            let innocent = async |number: u64| {
                 let what = format!("innocent-{round}-{number}");
                 tokio::time::sleep(Duration::from_millis(3 * number)).await;
                 serve(&world, &what, &what).await
             };
-            let (_, first, second) = tokio::join!(ending, beside(0), beside(1));
+            let (_, first, second) = tokio::join!(crashing, innocent(0), innocent(1));
             for outcome in [first, second] {
                 assert!(matches!(outcome, Outcome::Merged(_)), "{round}: {outcome:?}");
             }
@@ -140,10 +136,10 @@
     });
 }
 
-/// Sequence: connections are reset, such as those over a replica's cap after a loss of power of
-/// all instances; the replicas live.
+/// Connection resets must not count as crashes, for example those above a replica's connection
+/// limit after a power loss of all instances.
 #[test]
-fn connections_that_are_reset_are_no_ends() {
+fn connection_resets_are_not_crashes() {
     in_virtual_time(async {
         let world = World::new(route(SHARDS), SHARDS);
         let all = (0..SHARDS).flat_map(|s| [format!("s{s}/a"), format!("s{s}/b")]);
@@ -152,7 +148,7 @@
         set_all(Conduct::Loses(2));
         for attempt in 0..10 {
             let outcome = serve(&world, "innocent", &format!("r{attempt}")).await;
-            assert!(!is_refused_for_ends(&outcome), "{outcome:?}");
+            assert!(!is_quarantined(&outcome), "{outcome:?}");
         }
         set_all(Conduct::Answers(5));
         tokio::time::sleep(Duration::from_secs(5)).await;
@@ -161,13 +157,13 @@
     });
 }
 
-/// Sequence: all replicas lose power together, several times, while the same requests run.
+/// Requests must not be quarantined if they run while all replicas lose power, even several times.
 #[test]
-fn requests_that_run_as_replicas_lose_power_are_not_refused_for_it() {
+fn requests_are_not_quarantined_when_replicas_lose_power() {
     in_virtual_time(async {
         let world = World::new(route(SHARDS), SHARDS);
-        for time in 0..8 {
-            let down = async {
+        for cycle in 0..8 {
+            let power_loss = async {
                 tokio::time::sleep(Duration::from_millis(3)).await;
                 for shard in 0..SHARDS {
                     world.script.end(&format!("s{shard}/a"));
@@ -176,13 +172,13 @@
                 tokio::time::sleep(Duration::from_secs(1)).await;
                 world.script.start_all();
             };
-            let asked = (0..10).map(async |n| serve(&world, &format!("i{n}"), "r").await);
-            let ((), outcomes) = tokio::join!(down, futures_util::future::join_all(asked));
-            assert!(!outcomes.iter().any(is_refused_for_ends), "time {time}: {outcomes:?}");
+            let requests = (0..10).map(async |n| serve(&world, &format!("i{n}"), "r").await);
+            let ((), outcomes) = tokio::join!(power_loss, futures_util::future::join_all(requests));
+            assert!(!outcomes.iter().any(is_quarantined), "cycle {cycle}: {outcomes:?}");
             tokio::time::sleep(Duration::from_secs(3)).await;
             for number in 0..10 {
                 let outcome = serve(&world, &format!("i{number}"), "again").await;
-                assert!(matches!(outcome, Outcome::Merged(_)), "time {time}: {outcome:?}");
+                assert!(matches!(outcome, Outcome::Merged(_)), "cycle {cycle}: {outcome:?}");
             }
         }
     });
