--- a/crates/router/tests/delegates.rs
+++ b/crates/router/tests/delegates.rs
@@ -1,7 +1,7 @@
-//! Small instances that hand whole requests to large ones of their zone, over real connections.
+//! Small instances that delegate whole requests to large ones of their zone, over real connections.
 //!
-//! The pattern: six zones with three large instances each that gather, and thirty with an eighth
-//! of a core; requests of 129 shards whose answers are wanted within 50 ms.
+//! Modelled on six zones with three large gathering instances each and thirty instances with an
+//! eighth of a core, and requests of 129 shards with a target of 50 ms.
 
 mod common;
 
@@ -20,19 +20,19 @@
 const SHARDS: usize = 24;
 const DEADLINE_MS: u64 = 3_000;
 
-/// An instance that gathers, and how many questions it was asked.
-struct Gathering {
+/// A gathering instance that counts the requests relayed to it.
+struct GatherService {
     router: Rc<Router>,
-    asked: Rc<Cell<u32>>,
+    request_count: Rc<Cell<u32>>,
 }
 
-impl PeerService for Gathering {
-    fn answer(&self, question: Body) -> AnswerFuture<'_> {
+impl PeerService for GatherService {
+    fn answer(&self, request: Body) -> AnswerFuture<'_> {
         Box::pin(async move {
-            match question {
-                Body::Gather(question) => {
-                    self.asked.set(self.asked.get() + 1);
-                    Body::Gathered(self.router.gather_for_peer(question).await)
+            match request {
+                Body::Gather(request) => {
+                    self.request_count.set(self.request_count.get() + 1);
+                    Body::Gathered(self.router.gather_for_peer(request).await)
                 }
                 other => other,
             }
@@ -46,23 +46,26 @@
     fn observe(&self, _stamp: u64) {}
 }
 
-/// A large instance with its own replicas to ask.
-struct Large {
+/// A large instance with replicas of its own.
+struct LargeInstance {
     world: World,
     peer: Peer,
-    asked: Rc<Cell<u32>>,
+    request_count: Rc<Cell<u32>>,
 }
 
-async fn large(name: &str, zone: &str) -> Large {
+async fn start_large(name: &str, zone: &str) -> LargeInstance {
     let world = World::new(long_route(), SHARDS);
-    let asked = Rc::new(Cell::new(0));
-    let service = Gathering { router: Rc::clone(&world.router), asked: Rc::clone(&asked) };
+    let request_count = Rc::new(Cell::new(0));
+    let service = GatherService {
+        router: Rc::clone(&world.router),
+        request_count: Rc::clone(&request_count),
+    };
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     tokio::task::spawn_local(serve(listener, Rc::new(service)));
     let (is_gatherer, capacity_milli) = (true, 500);
     let peer = Peer { name: name.into(), addr, zone: zone.into(), is_gatherer, capacity_milli };
-    Large { world, peer, asked }
+    LargeInstance { world, peer, request_count }
 }
 
 fn long_route() -> Route {
@@ -71,8 +74,8 @@
     long
 }
 
-/// A small instance of the zone `z1` that knows some others.
-fn small(peers: Vec<Peer>) -> World {
+/// A small instance of the zone `z1` with the given peers.
+fn small_instance(peers: Vec<Peer>) -> World {
     let world = World::new(long_route(), SHARDS);
     let mut view = view(long_route(), SHARDS);
     view.is_gatherer = false;
@@ -83,53 +86,52 @@
     world
 }
 
-/// Symptom: of 300 instances served 0.90 of what 100 did, and the kind with 50 ms 0.61 of it.
-/// Sequence: each small instance split each request between the gatherers of all zones, ten
-/// questions and answers of a millisecond each at an eighth of a core.
-/// Cause: the work of a request did not shrink with the instance that it came to.
+/// A small instance must delegate a request in a single message. Splitting it between the gathering
+/// instances of all zones took ten messages and ten answers of a millisecond each at an eighth of a
+/// core. A fleet of 300 instances then served 0.90 of the load of 100 instances, and 0.61 for the
+/// requests with a target of 50 ms.
 #[test]
-fn a_small_instance_asks_one_question() {
+fn a_small_instance_delegates_in_one_message() {
     in_real_time(async {
-        let near = large("near", "z1").await;
-        let far = large("far", "z2").await;
-        let world = small(vec![near.peer.clone(), far.peer.clone()]);
+        let local = start_large("near", "z1").await;
+        let remote = start_large("far", "z2").await;
+        let world = small_instance(vec![local.peer.clone(), remote.peer.clone()]);
         let Outcome::Merged(merged) = world.serve("r1", DEADLINE_MS).await else { panic!() };
         assert_eq!((merged.signatures.len(), merged.missing), (SHARDS, 0));
-        assert_eq!((near.asked.get(), far.asked.get()), (1, 0));
+        assert_eq!((local.request_count.get(), remote.request_count.get()), (1, 0));
         assert!(world.script.arrivals.borrow().is_empty());
     });
 }
 
-/// The one that it is handed to asks in turn those that gather beside it.
+/// The delegate relays shards to the other gathering instances of its zone.
 #[test]
-fn a_request_that_is_handed_over_is_split_there() {
+fn a_delegated_request_is_split_by_the_delegate() {
     in_real_time(async {
-        let (near, second) = (large("near", "z1").await, large("second", "z1").await);
+        let (local, second) = (start_large("near", "z1").await, start_large("second", "z1").await);
         let mut beside = view(long_route(), SHARDS);
         let idle = Peer { name: "idle".into(), is_gatherer: false, ..second.peer.clone() };
         beside.peers = Arc::new(vec![second.peer.clone(), idle]);
-        near.world.shared.publish(beside.share_out("z1"));
-        let world = small(vec![near.peer.clone()]);
+        local.world.shared.publish(beside.share_out("z1"));
+        let world = small_instance(vec![local.peer.clone()]);
         let Outcome::Merged(merged) = world.serve("r1", DEADLINE_MS).await else { panic!() };
         assert_eq!((merged.signatures.len(), merged.missing), (SHARDS, 0));
-        assert_eq!((near.asked.get(), second.asked.get()), (1, 1));
-        let arrivals = |large: &Large| large.world.script.arrivals.borrow().len();
-        assert_eq!(arrivals(&near) + arrivals(&second), SHARDS);
-        assert!(arrivals(&near) > 0 && arrivals(&second) > 0);
+        assert_eq!((local.request_count.get(), second.request_count.get()), (1, 1));
+        let arrivals = |large: &LargeInstance| large.world.script.arrivals.borrow().len();
+        assert_eq!(arrivals(&local) + arrivals(&second), SHARDS);
+        assert!(arrivals(&local) > 0 && arrivals(&second) > 0);
     });
 }
 
-/// Symptom it guards against: requests that are lost with the one that they were handed to.
-/// Sequence: that one has ended, and nobody listens at its address.
+/// Requests must survive the loss of their delegate: nothing listens at its address any more.
 #[test]
-fn where_it_is_lost_others_are_asked() {
+fn a_lost_delegate_is_replaced() {
     in_real_time(async {
-        let sound = large("sound", "z1").await;
+        let healthy = start_large("sound", "z1").await;
         let gone = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = gone.local_addr().unwrap();
         drop(gone);
-        let lost = Peer { name: "lost".into(), addr, ..sound.peer.clone() };
-        let world = small(vec![lost, sound.peer.clone()]);
+        let lost = Peer { name: "lost".into(), addr, ..healthy.peer.clone() };
+        let world = small_instance(vec![lost, healthy.peer.clone()]);
         for id in ["r1", "r2", "r3", "r4"] {
             let Outcome::Merged(merged) = world.serve(id, DEADLINE_MS).await else { panic!() };
             assert_eq!((merged.signatures.len(), merged.missing), (SHARDS, 0));
@@ -137,54 +139,52 @@
     });
 }
 
-/// Symptom: requests that were refused failed as "may have run".
-/// Sequence: instances that were asked found more shards over full than may be missed when the
-/// others had begun theirs.
-/// Cause: nobody planned the whole request who knew the replicas.
+/// A request refused by its delegate must count as not run. When the shards were relayed to several
+/// instances, each found overloaded shards on its own after others had started theirs, and refused
+/// requests were reported as possibly run.
 #[test]
-fn what_it_refuses_has_not_run_and_says_when_to_come_back() {
+fn a_request_refused_by_the_delegate_has_not_run_and_may_be_retried() {
     in_real_time(async {
-        let near = large("near", "z1").await;
+        let local = start_large("near", "z1").await;
         for shard in 0..SHARDS {
             for replica in ["a", "b"] {
-                near.world.script.set(&format!("s{shard}/{replica}"), Conduct::Loses(1));
+                local.world.script.set(&format!("s{shard}/{replica}"), Conduct::Loses(1));
             }
         }
         for number in 0..6 {
-            near.world.serve(&format!("t{number}"), DEADLINE_MS).await;
+            local.world.serve(&format!("t{number}"), DEADLINE_MS).await;
         }
-        let before = near.world.script.arrivals.borrow().len();
-        let world = small(vec![near.peer.clone()]);
+        let before = local.world.script.arrivals.borrow().len();
+        let world = small_instance(vec![local.peer.clone()]);
         let Outcome::Refused(refusal) = world.serve("r1", DEADLINE_MS).await else { panic!() };
         assert_eq!((refusal.verdict, refusal.reason), (Verdict::NotRun, RefusalReason::Overloaded));
         assert!(refusal.retry_after_ms.is_some());
-        assert_eq!(near.world.script.arrivals.borrow().len(), before);
+        assert_eq!(local.world.script.arrivals.borrow().len(), before);
         assert!(world.script.arrivals.borrow().is_empty());
     });
 }
 
-/// Symptom: of the requests of a second with many slow replicas a third failed at their target with
-/// 82 of 83 shards in and five times as long left.
-/// Sequence: an instance that was asked answered in time, without one shard that was late; the
-/// asking one could not have it in time any more, and gave up.
-/// Cause: what can't be in time counted as lost, though the answer was late already.
+/// A late answer that lacks one shard must be completed. The relaying instance answered in time
+/// without one late shard; the requesting one could not meet the target any more and gave up. A
+/// third of the requests with many slow replicas failed at the target with 82 of 83 shards covered
+/// and five times as much time left.
 #[test]
 fn a_late_answer_that_lacks_one_shard_is_completed() {
     in_real_time(async {
-        let far = large("far", "z1").await;
+        let other = start_large("far", "z1").await;
         for replica in ["s3/a", "s3/b"] {
-            far.world.script.set(replica, Conduct::Silent);
+            other.world.script.set(replica, Conduct::Silent);
         }
-        let world = small(vec![far.peer.clone()]);
+        let world = small_instance(vec![other.peer.clone()]);
         let mut strict = long_route();
         strict.least_share = 1.0;
         strict.target_latency_ms = 300;
         let mut view = view(strict, SHARDS);
         view.is_gatherer = false;
-        // As large as the other one, so that it splits the request itself.
+        // Same capacity as the other instance, so that this one splits the request itself.
         view.capacity_milli = 500;
         view.instances = 2;
-        view.peers = Arc::new(vec![far.peer.clone()]);
+        view.peers = Arc::new(vec![other.peer.clone()]);
         world.shared.publish(view.share_out("z1"));
         let outcome = world.serve("r1", DEADLINE_MS).await;
         let Outcome::Merged(merged) = outcome else { panic!("{outcome:?}") };
@@ -194,21 +194,21 @@
     });
 }
 
-/// An instance that takes questions, says nothing, and counts those that are withdrawn.
-struct Frozen(Rc<Cell<u32>>);
+/// An instance that accepts requests, never answers and counts cancelled gather requests.
+struct FrozenService(Rc<Cell<u32>>);
 
-/// Counts when it is dropped.
-struct Withdrawn(Rc<Cell<u32>>);
+/// Increments the counter when dropped.
+struct CancelCounter(Rc<Cell<u32>>);
 
-impl Drop for Withdrawn {
+impl Drop for CancelCounter {
     fn drop(&mut self) {
         self.0.set(self.0.get() + 1);
     }
 }
 
-impl PeerService for Frozen {
-    fn answer(&self, question: Body) -> AnswerFuture<'_> {
-        let guard = matches!(question, Body::Gather(_)).then(|| Withdrawn(Rc::clone(&self.0)));
+impl PeerService for FrozenService {
+    fn answer(&self, request: Body) -> AnswerFuture<'_> {
+        let guard = matches!(request, Body::Gather(_)).then(|| CancelCounter(Rc::clone(&self.0)));
         Box::pin(async move {
             let _guard = guard;
             std::future::pending().await
@@ -222,26 +222,25 @@
     fn observe(&self, _stamp: u64) {}
 }
 
-/// Symptom: replicas worked for callers who had been answered a second and a half before.
-/// Sequence: the instance that a request was handed to was frozen; others were asked in its place
-/// and the caller answered; when it woke it gathered all the same.
-/// Cause: what was outrun by an answer was let go, questions like sends.
+/// A relay request must be cancelled once its answer is not needed any more. The delegate was
+/// frozen and others answered in its place. When it resumed it still gathered, because the relay
+/// request had been detached like a send, and replicas worked for callers answered 1.5 s earlier.
 #[test]
-fn a_question_that_is_not_needed_any_more_is_withdrawn() {
+fn a_relay_request_that_is_not_needed_any_more_is_cancelled() {
     in_real_time(async {
-        let sound = large("sound", "z1").await;
-        let withdrawn = Rc::new(Cell::new(0));
+        let healthy = start_large("sound", "z1").await;
+        let cancelled = Rc::new(Cell::new(0));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
-        tokio::task::spawn_local(serve(listener, Rc::new(Frozen(Rc::clone(&withdrawn)))));
-        let frozen = Peer { name: "frozen".into(), addr, ..sound.peer.clone() };
-        // It is drawn at random which of the two a fresh instance asks first; one that has asked
-        // the sound one goes on with it.
+        tokio::task::spawn_local(serve(listener, Rc::new(FrozenService(Rc::clone(&cancelled)))));
+        let frozen = Peer { name: "frozen".into(), addr, ..healthy.peer.clone() };
+        // A new instance picks one of the two at random, and keeps using the healthy one once it
+        // has answered.
         for _ in 0..100 {
-            if withdrawn.get() > 0 {
+            if cancelled.get() > 0 {
                 return;
             }
-            let world = small(vec![frozen.clone(), sound.peer.clone()]);
+            let world = small_instance(vec![frozen.clone(), healthy.peer.clone()]);
             let Outcome::Merged(merged) = world.serve("r", DEADLINE_MS).await else { panic!() };
             assert_eq!((merged.signatures.len(), merged.missing), (SHARDS, 0));
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
--- a/crates/router/tests/lost_relays.rs
+++ b/crates/router/tests/lost_relays.rs
@@ -1,4 +1,4 @@
-//! Instances that were asked for shards and bring nothing, over real connections.
+//! Loss of instances that gather relayed shards, over real connections.
 
 mod common;
 
@@ -15,14 +15,14 @@
 const SHARDS: usize = 24;
 const DEADLINE_MS: u64 = 3_000;
 
-/// An instance that gathers.
-struct Gathering(Rc<Router>);
+/// An instance that gathers for others.
+struct GatherService(Rc<Router>);
 
-impl PeerService for Gathering {
-    fn answer(&self, question: Body) -> AnswerFuture<'_> {
+impl PeerService for GatherService {
+    fn answer(&self, request: Body) -> AnswerFuture<'_> {
         Box::pin(async move {
-            match question {
-                Body::Gather(question) => Body::Gathered(self.0.gather_for_peer(question).await),
+            match request {
+                Body::Gather(request) => Body::Gathered(self.0.gather_for_peer(request).await),
                 other => other,
             }
         })
@@ -35,11 +35,11 @@
     fn observe(&self, _stamp: u64) {}
 }
 
-/// An instance that takes questions and says nothing.
-struct Silent;
+/// An instance that accepts requests and never answers.
+struct SilentService;
 
-impl PeerService for Silent {
-    fn answer(&self, _question: Body) -> AnswerFuture<'_> {
+impl PeerService for SilentService {
+    fn answer(&self, _request: Body) -> AnswerFuture<'_> {
         Box::pin(std::future::pending())
     }
 
@@ -64,31 +64,30 @@
     long
 }
 
-/// One that asks others in its zone, and can't pay for a repeat itself.
-fn asking(peers: Vec<Peer>) -> World {
-    let nothing = RepeatLimits { ratio_milli: 0, slack: 0, window_ms: 10_000 };
-    let world = World::with_limits(long_route(), SHARDS, nothing);
+/// An instance that relays within its zone and has no retry budget.
+fn relaying_instance(peers: Vec<Peer>) -> World {
+    let no_budget = RepeatLimits { ratio_milli: 0, slack: 0, window_ms: 10_000 };
+    let world = World::with_limits(long_route(), SHARDS, no_budget);
     let mut view = view(long_route(), SHARDS);
     view.is_gatherer = false;
     view.instances = 3;
-    // As large as the others, so that it asks them itself.
+    // Same capacity as the others, so that this one relays the shards itself.
     view.capacity_milli = 500;
     view.peers = Arc::new(peers);
     world.shared.publish(view.share_out("z1"));
     world
 }
 
-/// Symptom: with many instances killed at once, answers lacked a third of their shards.
-/// Sequence: one of a zone's two gathering instances froze or ended; those that had asked it
-/// had no budget to send its shards themselves.
-/// Cause: the shards of a lost instance were sent from here or not at all.
+/// The shards of a frozen instance must be relayed to another one. Instances that relay have no
+/// retry budget to send the shards themselves. With many instances killed at once, answers lacked a
+/// third of their shards.
 #[test]
-fn the_shards_of_a_silent_instance_come_by_way_of_another() {
+fn shards_of_a_frozen_instance_are_relayed_to_another() {
     in_real_time(async {
         let other = World::new(long_route(), SHARDS);
-        let silent = start("silent", Rc::new(Silent)).await;
-        let sound = start("sound", Rc::new(Gathering(Rc::clone(&other.router)))).await;
-        let world = asking(vec![silent, sound]);
+        let silent = start("silent", Rc::new(SilentService)).await;
+        let healthy = start("sound", Rc::new(GatherService(Rc::clone(&other.router)))).await;
+        let world = relaying_instance(vec![silent, healthy]);
         let Outcome::Merged(merged) = world.serve("r1", DEADLINE_MS).await else { panic!() };
         assert_eq!((merged.signatures.len(), merged.missing), (SHARDS, 0));
         assert!(world.script.arrivals.borrow().is_empty());
@@ -96,35 +95,36 @@
     });
 }
 
-/// The same where the instance is gone: nobody listens at its address.
+/// The shards of an instance that has ended must be relayed to another one: nothing listens at its
+/// address any more.
 #[test]
-fn the_shards_of_a_lost_instance_come_by_way_of_another() {
+fn shards_of_a_lost_instance_are_relayed_to_another() {
     in_real_time(async {
         let other = World::new(long_route(), SHARDS);
         let gone = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = gone.local_addr().unwrap();
         drop(gone);
-        let sound = start("sound", Rc::new(Gathering(Rc::clone(&other.router)))).await;
-        let lost = Peer { name: "lost".into(), addr, ..sound.clone() };
-        let world = asking(vec![lost, sound]);
+        let healthy = start("sound", Rc::new(GatherService(Rc::clone(&other.router)))).await;
+        let lost = Peer { name: "lost".into(), addr, ..healthy.clone() };
+        let world = relaying_instance(vec![lost, healthy]);
         let Outcome::Merged(merged) = world.serve("r1", DEADLINE_MS).await else { panic!() };
         assert_eq!((merged.signatures.len(), merged.missing), (SHARDS, 0));
     });
 }
 
-/// Symptom: a service got more repeats than all instances together may send.
-/// Sequence: a question for the shards of a lost instance was answered by first sends.
-/// Cause it guards against: not paying for what another instance may have sent.
+/// The instance that takes over shards must pay for them from its retry budget. The lost instance
+/// may have sent them already, and counting them as first sends would exceed the total budget of a
+/// service.
 #[test]
-fn the_one_that_is_asked_instead_pays_for_the_repeats() {
+fn the_replacement_instance_pays_for_the_retries() {
     in_real_time(async {
-        let nothing = RepeatLimits { ratio_milli: 0, slack: 0, window_ms: 10_000 };
-        let other = World::with_limits(long_route(), SHARDS, nothing);
-        let silent = start("silent", Rc::new(Silent)).await;
-        let sound = start("sound", Rc::new(Gathering(Rc::clone(&other.router)))).await;
-        let world = asking(vec![silent, sound]);
+        let no_budget = RepeatLimits { ratio_milli: 0, slack: 0, window_ms: 10_000 };
+        let other = World::with_limits(long_route(), SHARDS, no_budget);
+        let silent = start("silent", Rc::new(SilentService)).await;
+        let healthy = start("sound", Rc::new(GatherService(Rc::clone(&other.router)))).await;
+        let world = relaying_instance(vec![silent, healthy]);
         assert!(matches!(world.serve("r1", DEADLINE_MS).await, Outcome::Refused(_)));
-        // Only what it was asked for in the first place.
+        // Only the shards that were relayed to it in the first place.
         let arrivals = other.script.arrivals.borrow().len();
         assert!((1..SHARDS).contains(&arrivals), "{arrivals}");
     });
--- a/crates/router/tests/relays.rs
+++ b/crates/router/tests/relays.rs
@@ -1,4 +1,4 @@
-//! Gathering for another instance, and full connections.
+//! Gathering for another instance, and connection limits.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use eelgrasspier_peer::wire;
 use eelgrasspier_router::Outcome;
 
-fn question(services: &[&str], allowed: Vec<u32>) -> wire::Gather {
+fn gather_request(services: &[&str], allowed: Vec<u32>) -> wire::Gather {
     wire::Gather {
         request_id: "r1".into(),
         method: "GET".to_owned(),
@@ -25,18 +25,17 @@
     }
 }
 
-/// Symptom: requests ran on three replicas of a shard where the route allows two.
-/// Sequence: a replica had just been taken off one instance's list and not yet off the
-/// other's; each drew two of what it knew.
-/// Cause: both sides drew, from lists that differ while they change.
+/// Shards of a relay request must go only to the replicas listed in it. Both instances used to draw
+/// replicas, and while their lists differed a request ran on three replicas of a shard where the
+/// route allows two.
 #[test]
-fn an_asked_instance_sends_only_to_the_replicas_it_is_told() {
+fn a_relay_sends_only_to_the_listed_replicas() {
     in_virtual_time(async {
         let world = World::new(route(2), 2);
         world.script.set("s0/a", Conduct::Silent);
         let only =
             vec![relays::mark("s0/a"), relays::NO_MARK, relays::mark("s1/b"), relays::NO_MARK];
-        let answer = world.router.gather_for_peer(question(&["s0", "s1"], only)).await;
+        let answer = world.router.gather_for_peer(gather_request(&["s0", "s1"], only)).await;
         assert_eq!(answer.parts.len(), 1);
         assert!(answer.may_have_run);
         let arrived = |id| world.script.arrivals_at(id);
@@ -48,7 +47,7 @@
 }
 
 #[test]
-fn an_asked_instance_hedges_and_answers_in_time_with_what_is_there() {
+fn a_relay_hedges_and_answers_in_time_with_partial_results() {
     in_virtual_time(async {
         let world = World::new(route(3), 3);
         world.script.set("s0/a", Conduct::Silent);
@@ -58,7 +57,7 @@
         let both =
             services.iter().flat_map(|s| ["a", "b"].map(|r| relays::mark(&format!("{s}/{r}"))));
         let started = tokio::time::Instant::now();
-        let answer = world.router.gather_for_peer(question(&services, both.collect())).await;
+        let answer = world.router.gather_for_peer(gather_request(&services, both.collect())).await;
         assert!(started.elapsed().as_millis() <= 72, "{:?}", started.elapsed());
         let shards: Vec<u32> = answer.parts.iter().map(|p| p.shard).collect();
         assert_eq!(shards.len(), 2);
@@ -66,12 +65,11 @@
     });
 }
 
-/// Symptom: shards were missing though their replicas were idle.
-/// Sequence: all of this instance's connections to both replicas were in use for a moment;
-/// both counted as tried and failed.
-/// Cause: the own limit was taken for the replicas' failure.
+/// A shard must wait for a free connection. When all connections to both replicas were in use for a
+/// moment, both counted as tried and failed, and the shard was missing although its replicas were
+/// idle.
 #[test]
-fn a_shard_without_a_free_connection_is_sent_as_soon_as_one_is_free() {
+fn a_shard_is_sent_as_soon_as_a_connection_is_free() {
     in_virtual_time(async {
         let world = World::new(route(2), 2);
         world.script.full.borrow_mut().extend(["s0/a".to_owned(), "s0/b".to_owned()]);
@@ -85,13 +83,11 @@
     });
 }
 
-/// Symptom: a third of the parts of a shard with one slow replica took over a second, though
-/// its other replica answered within 30 ms.
-/// Sequence: all connections to the other one were in use for a moment, and those to the slow
-/// one were free.
-/// Cause: a free connection went before everything that was known of the replica.
+/// A shard must wait for a connection to a fast replica rather than use a slow one. Free
+/// connections used to take precedence over measured latency: a third of the parts of a shard with
+/// one slow replica took over a second, although the other one answered within 30 ms.
 #[test]
-fn a_shard_waits_for_a_connection_rather_than_go_to_a_slow_replica() {
+fn a_shard_waits_for_a_connection_rather_than_use_a_slow_replica() {
     in_virtual_time(async {
         let mut short = route(1);
         short.target_latency_ms = 50;
@@ -99,7 +95,7 @@
         world.script.set("s0/b", Conduct::Answers(300));
         let fill = || world.script.full.borrow_mut().insert("s0/a".to_owned());
         fill();
-        // What is learnt of the slow one.
+        // Measures the latency of the slow replica.
         for id in ["r1", "r2"] {
             world.serve(id, 400).await;
         }
@@ -116,12 +112,13 @@
 }
 
 #[test]
-fn an_asked_instance_says_which_replicas_are_slow() {
+fn a_relay_answer_reports_slow_replicas() {
     in_virtual_time(async {
         let world = World::new(route(2), 2);
         world.script.set("s0/a", Conduct::Silent);
         let both = ["s0/a", "s0/b", "s1/a", "s1/b"].map(relays::mark);
-        let answer = world.router.gather_for_peer(question(&["s0", "s1"], both.to_vec())).await;
+        let answer =
+            world.router.gather_for_peer(gather_request(&["s0", "s1"], both.to_vec())).await;
         assert_eq!(answer.parts.len(), 2);
         assert_eq!(answer.slow, [relays::mark("s0/a")]);
     });
