--- a/crates/router/src/cold.rs
+++ b/crates/router/src/cold.rs
@@ -52,7 +52,7 @@
         if !self.is_cold(view, replica) {
             return ColdAdmission::Unlimited;
         }
-        match self.cold_share(view, replica) {
+        match self.cold_rate_limit(view, replica) {
             None => ColdAdmission::Unlimited,
             Some(share) => self.cold_admission_by_owner(view, replica, share),
         }
@@ -65,22 +65,22 @@
         share: usize,
     ) -> ColdAdmission {
         let now_ms = self.shared.now_ms();
-        let mut near: Vec<&Peer> =
+        let mut peers: Vec<&Peer> =
             view.gatherers.iter().filter(|p| p.zone == replica.zone).collect();
         let mut is_candidate = view.is_gatherer && self.zone == replica.zone;
         let mut zone = Some(&*replica.zone);
-        if near.is_empty() && !is_candidate {
+        if peers.is_empty() && !is_candidate {
             // All instances of the zone are lost; those of the other zones take over.
-            near = view.gatherers.iter().collect();
+            peers = view.gatherers.iter().collect();
             (is_candidate, zone) = (view.is_gatherer, None);
         }
-        let mut candidates: Vec<Candidate> = near.iter().map(|p| p.candidate()).collect();
+        let mut candidates: Vec<Candidate> = peers.iter().map(|p| p.candidate()).collect();
         if is_candidate {
             candidates.push(Candidate { key: self.key, capacity_milli: view.capacity_milli });
         }
         match gatherers::owner(&replica.service, &candidates) {
             None => ColdAdmission::Denied,
-            Some(index) if index < near.len() => ColdAdmission::AskOwner(near[index].clone()),
+            Some(index) if index < peers.len() => ColdAdmission::AskOwner(peers[index].clone()),
             Some(_) => {
                 let is_owner = view.settled.is_settled(zone, now_ms)
                     && cold::is_in_touch(view.fleet, self.shared.heard_ms(), now_ms);
@@ -95,7 +95,7 @@
     }
 
     /// Returns the requests per second that one owner grants a cold replica; `None` if unlimited.
-    fn cold_share(&self, view: &View, replica: &ReplicaEntry) -> Option<usize> {
+    fn cold_rate_limit(&self, view: &View, replica: &ReplicaEntry) -> Option<usize> {
         let services = &view.configuration.as_ref()?.services;
         let rate_milli = services.get(&replica.service)?.cold_rate_milli;
         cold::share(rate_milli, self.cold.bounds.get())
@@ -103,10 +103,10 @@
 
     /// Counts one request to a cold replica; returns false if the limit has been reached.
     pub(crate) fn try_take_cold_send(&self, view: &View, replica: &ReplicaEntry) -> bool {
-        let Some(share) = self.cold_share(view, replica) else { return true };
+        let Some(share) = self.cold_rate_limit(view, replica) else { return true };
         let now_ms = self.shared.now_ms();
         let is_taken = self.cold.windows.borrow_mut().take(&replica.id, share, now_ms);
-        count(is_taken);
+        count_cold_send(is_taken);
         is_taken
     }
 
@@ -145,7 +145,7 @@
             ColdAdmission::Unlimited => true,
             ColdAdmission::CountedHere => self.try_take_cold_send(&view, replica),
             ColdAdmission::AskOwner(_) | ColdAdmission::Denied => {
-                count(false);
+                count_cold_send(false);
                 false
             }
         }
@@ -157,7 +157,7 @@
     }
 }
 
-fn count(is_allowed: bool) {
+fn count_cold_send(is_allowed: bool) {
     let allowed = if is_allowed { "yes" } else { "no" };
     metrics::counter!("eelgrasspier_cold_sends_total", "allowed" => allowed).increment(1);
 }
--- a/crates/router/src/gather/admission.rs
+++ b/crates/router/src/gather/admission.rs
@@ -14,7 +14,7 @@
         false
     }
 
-    /// Does the same for shards relayed by another instance; returns false if nothing is sent.
+    /// Leaves out late shards of a relay request; returns false if nothing is sent.
     ///
     /// The requesting instance plans with load reports from earlier answers, which are older than
     /// the data here.
--- a/crates/router/src/gather/mod.rs
+++ b/crates/router/src/gather/mod.rs
@@ -52,7 +52,7 @@
 pub(crate) enum Requester {
     /// A caller; shards may be relayed to other instances.
     Caller,
-    /// Another instance, which accepts any number of shards.
+    /// Another instance, which accepts partial results.
     Peer {
         /// True if a third instance may already have sent the shards.
         is_repeat: bool,
@@ -223,7 +223,7 @@
         match requester {
             Requester::Caller => self.start_for_caller(),
             Requester::Peer { is_repeat, may_miss, may_leave_out, is_whole } => {
-                // The requesting instance accepts any subset of the shards.
+                // The requesting instance accepts partial results.
                 self.required_shards =
                     if is_whole { self.shards.len().saturating_sub(may_miss) } else { 0 };
                 let is_started = self.admit_for_peer(may_miss, may_leave_out);
--- a/crates/router/src/gather/quarantine.rs
+++ b/crates/router/src/gather/quarantine.rs
@@ -156,8 +156,8 @@
         let fingerprint = self.request.fingerprint();
         let is_waiting = |i: &usize| {
             let shard = &self.shards[*i];
-            let is_open = shard.state == ShardState::Pending && shard.in_flight == 0;
-            is_open && self.eligible_replicas(shard).next().is_some()
+            let is_pending = shard.state == ShardState::Pending && shard.in_flight == 0;
+            is_pending && self.eligible_replicas(shard).next().is_some()
         };
         let waiting = (0..self.shards.len()).filter(is_waiting);
         waiting.min_by_key(|&i| fingerprint.order(&self.shards[i].service))
--- a/crates/router/src/gather/relay.rs
+++ b/crates/router/src/gather/relay.rs
@@ -63,7 +63,7 @@
     ///
     /// Splitting a request of 129 shards takes ten relay requests and ten answers to merge. That is
     /// more than 10 ms on an instance with an eighth of a core, where some answers have a target of
-    /// 50 ms. An instance with half a core needs a quarter of that. Its connections are in use, and
+    /// 50 ms. An instance with half a core needs a quarter of that. Its connections are warm, and
     /// since a few instances handle all requests of the zone, they know the replicas' queues.
     pub(super) fn delegate(&self) -> Option<&'a Peer> {
         let router = self.router;
@@ -94,11 +94,11 @@
     pub(super) fn dispatch_all(&mut self, is_repeat: bool) {
         let relay_groups = self.relay_groups();
         let may_leave_out = self.split_miss_budget(&relay_groups);
-        let mut is_relayed: Vec<bool> =
+        let mut is_handled: Vec<bool> =
             self.shards.iter().map(|s| s.state == ShardState::LeftOut).collect();
         for ((peer, shards), may_leave_out) in relay_groups.into_iter().zip(may_leave_out) {
             for &shard in &shards {
-                is_relayed[shard] = true;
+                is_handled[shard] = true;
             }
             self.relay_shards(
                 &peer,
@@ -106,7 +106,7 @@
                 RelayOptions { is_repeat, may_leave_out, is_whole: false },
             );
         }
-        for index in (0..self.shards.len()).filter(|&i| !is_relayed[i]) {
+        for index in (0..self.shards.len()).filter(|&i| !is_handled[i]) {
             self.send_for_peer(index, is_repeat);
         }
     }
@@ -114,13 +114,13 @@
     /// Returns how many of its shards each relay group may leave out.
     fn split_miss_budget(&self, relay_groups: &[(Peer, Vec<usize>)]) -> Vec<usize> {
         let mut sizes: Vec<usize> = relay_groups.iter().map(|(_, shards)| shards.len()).collect();
-        let open = self.shards.iter().filter(|s| s.state == ShardState::Pending).count();
+        let pending = self.shards.iter().filter(|s| s.state == ShardState::Pending).count();
         // Shards that are sent from here may be late as well.
-        sizes.push(open - sizes.iter().sum::<usize>());
+        sizes.push(pending - sizes.iter().sum::<usize>());
         admission::share_misses(self.may_miss(), &sizes)
     }
 
-    /// Groups the shards that are better gathered elsewhere by the instance to ask.
+    /// Returns the shards to relay, grouped by instance.
     fn relay_groups(&self) -> Vec<(Peer, Vec<usize>)> {
         // Isolated trials are sent from here only; otherwise each instance would run a trial of its
         // own.
@@ -128,8 +128,9 @@
             return Vec::new();
         }
         let peers = self.healthy_peers();
-        let open = (0..self.shards.len()).filter(|&i| self.shards[i].state == ShardState::Pending);
-        self.assign(open, &self.router.zone, &peers)
+        let pending =
+            (0..self.shards.len()).filter(|&i| self.shards[i].state == ShardState::Pending);
+        self.assign(pending, &self.router.zone, &peers)
     }
 
     /// Assigns shards to instances, those in `preferred_zone` first.
@@ -157,25 +158,27 @@
         assigned
     }
 
-    /// Splits the shards of a sliced zone by owner; shards owned by this instance are left out.
+    /// Splits the shards of a sliced zone by the instance that gathers them.
+    ///
+    /// The group contains no shards that this instance gathers itself.
     fn split_by_owner(&self, group: &Group<'_>, peers: &[&Peer]) -> Vec<(Peer, Vec<usize>)> {
-        let near: Vec<&&Peer> = peers.iter().filter(|p| &*p.zone == group.zone).collect();
-        let gathering: Vec<Candidate> = near.iter().map(|p| p.candidate()).collect();
+        let zone_peers: Vec<&&Peer> = peers.iter().filter(|p| &*p.zone == group.zone).collect();
+        let gathering: Vec<Candidate> = zone_peers.iter().map(|p| p.candidate()).collect();
         let mut split: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         for &shard in &group.shards {
             if let Some(owner) = gatherers::owner(&self.shards[shard].service, &gathering) {
                 split.entry(owner).or_default().push(shard);
             }
         }
-        split.into_iter().map(|(owner, shards)| ((*near[owner]).clone(), shards)).collect()
+        split.into_iter().map(|(owner, shards)| ((*zone_peers[owner]).clone(), shards)).collect()
     }
 
     /// Returns zones whose instances have local replicas of a shard; none if this one does.
     fn relay_zones<'p>(&self, shard: &Shard, peers: &[&'p Peer]) -> Vec<&'p str> {
         let allowed = self.replicas(&shard.service).filter(|r| shard.allows(r));
         // If no replica may be used from here, the instances that rate limit the cold ones decide.
-        let is_any_open = allowed.clone().any(|r| self.may_send_directly(r));
-        let replicas = allowed.filter(|r| !is_any_open || self.may_send_directly(r));
+        let can_send_directly = allowed.clone().any(|r| self.may_send_directly(r));
+        let replicas = allowed.filter(|r| !can_send_directly || self.may_send_directly(r));
         if self.router.gathers(self.view, &shard.service)
             && replicas.clone().any(|r| r.zone == self.router.zone)
         {
--- a/crates/router/src/gather/relay_results.rs
+++ b/crates/router/src/gather/relay_results.rs
@@ -61,17 +61,17 @@
         shards: &[usize],
         is_repeat: bool,
     ) -> Vec<usize> {
-        let is_open = |i: &&usize| self.shards[**i].state == ShardState::Pending;
-        let open: Vec<usize> = shards.iter().filter(is_open).copied().collect();
+        let is_pending = |i: &&usize| self.shards[**i].state == ShardState::Pending;
+        let pending: Vec<usize> = shards.iter().filter(is_pending).copied().collect();
         if !self.view.is_sliced(zone) || self.is_suspect() {
-            return open;
+            return pending;
         }
         let mut peers = self.healthy_peers();
         peers.retain(|p| &*p.name != lost);
-        let not_reassigned = open.iter().copied().filter(|&i| !self.shards[i].was_reassigned);
-        let moved = self.assign(not_reassigned.collect::<Vec<_>>(), zone, &peers);
-        let mut remaining: BTreeSet<usize> = open.into_iter().collect();
-        for (peer, shards) in moved {
+        let movable = pending.iter().copied().filter(|&i| !self.shards[i].was_reassigned);
+        let reassigned = self.assign(movable.collect::<Vec<_>>(), zone, &peers);
+        let mut remaining: BTreeSet<usize> = pending.into_iter().collect();
+        for (peer, shards) in reassigned {
             let (id, count) = (self.request.id_text(), shards.len());
             log::info!(
                 "event=relay_replaced id={id} lost={lost} peer={} shards={count}",
--- a/crates/router/src/gather/results.rs
+++ b/crates/router/src/gather/results.rs
@@ -65,14 +65,14 @@
             self.trials.retract(replica);
         }
         // A misdirected send reached a replica of another service.
-        let is_arrival = !matches!(
+        let has_arrived = !matches!(
             failure,
             PartFailure::NotReached(_) | PartFailure::NotListening | PartFailure::Misdirected
         );
         if may_have_run && !self.route.is_idempotent {
             self.mark_failed(index);
         } else {
-            self.retry(index, is_arrival);
+            self.retry(index, has_arrived);
         }
     }
 
@@ -91,8 +91,10 @@
         }
     }
 
-    /// Retries after a failed send, which uses retry budget if `is_arrival`.
-    pub(super) fn retry(&mut self, index: usize, is_arrival: bool) {
+    /// Retries a shard after a failed send.
+    ///
+    /// Uses retry budget only if that send has arrived at the service.
+    pub(super) fn retry(&mut self, index: usize, has_arrived: bool) {
         let shard = &self.shards[index];
         let is_over = self.router.shared.now_ms() >= self.deadlines.limit_at_ms;
         if shard.state != ShardState::Pending || is_over {
@@ -101,7 +103,7 @@
         let max_sends = self.route.attempts.max(1) + MAX_UNRUN_SENDS;
         let has_sent = if shard.tried.len() >= max_sends {
             false
-        } else if is_arrival {
+        } else if has_arrived {
             self.resend(index, "retry")
         } else {
             self.send(index)
@@ -129,16 +131,16 @@
     /// time left until the deadline. The caller then retried and all shards ran a second time.
     pub(super) fn retry_late_shards(&mut self, now_ms: u64) {
         let count = |state| self.shards.iter().filter(|s| s.state == state).count();
-        let [late, open, covered] =
+        let [late, pending, covered] =
             [ShardState::Late, ShardState::Pending, ShardState::Covered].map(count);
-        let is_due = open == 0 || now_ms >= self.deadlines.target_at_ms;
+        let is_due = pending == 0 || now_ms >= self.deadlines.target_at_ms;
         if late == 0 || !is_due || covered >= self.required_shards {
             return;
         }
         self.has_retried_late = true;
         let max_retried = self.shards.len() / MAX_LATE_DIVISOR + 1;
-        let can_complete = covered + open + late >= self.required_shards
-            && covered + open + max_retried >= self.required_shards;
+        let can_complete = covered + pending + late >= self.required_shards
+            && covered + pending + max_retried >= self.required_shards;
         for index in 0..self.shards.len() {
             if self.shards[index].state == ShardState::Late {
                 self.shards[index].state = ShardState::Pending;
--- a/crates/router/src/gather/send.rs
+++ b/crates/router/src/gather/send.rs
@@ -26,9 +26,10 @@
         shard: &Shard,
     ) -> impl Iterator<Item = &'a Arc<ReplicaEntry>> {
         let has_attempts = shard.used_attempts() < self.route.attempts.max(1);
-        let open = self.replicas(&shard.service).filter(move |_| has_attempts);
-        let open = open.filter(|r| shard.allows(r)).filter(|r| !shard.tried.contains(&r.id));
-        open.filter(|r| self.may_send_to(r))
+        let eligible = self.replicas(&shard.service).filter(move |_| has_attempts);
+        let eligible =
+            eligible.filter(|r| shard.allows(r)).filter(|r| !shard.tried.contains(&r.id));
+        eligible.filter(|r| self.may_send_to(r))
     }
 
     /// True if a replica is warm, or is cold and may receive one more request.
@@ -150,7 +151,7 @@
             self.gathered.cold += 1;
         }
         let (router, request) = (Rc::clone(self.router), Rc::clone(self.request));
-        let sending = Rc::clone(self.router).send(attempt, state, self.timing.typical_ms);
+        let send_future = Rc::clone(self.router).send(attempt, state, self.timing.typical_ms);
         self.tasks.sends.push(actix_rt::spawn(async move {
             let is_allowed = match &admission {
                 ColdAdmission::AskOwner(owner) => {
@@ -159,9 +160,9 @@
                 _ => true,
             };
             let result = if is_allowed {
-                sending.await
+                send_future.await
             } else {
-                Err(PartFailure::NotReached("cold replica has reached its rate limit".to_owned()))
+                Err(PartFailure::NotReached("no permission to send to the cold replica".to_owned()))
             };
             if result.as_ref().is_err_and(|failure| failure.verdict() == Verdict::NotRun) {
                 offered.clear();
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -34,9 +34,10 @@
         if !view.is_gatherer || !view.is_sliced(&self.zone) {
             return view.is_gatherer;
         }
-        let near = view.gatherers.iter().filter(|p| p.zone == self.zone);
+        let zone_peers = view.gatherers.iter().filter(|p| p.zone == self.zone);
         let own = Candidate { key: self.key, capacity_milli: view.capacity_milli };
-        let all: Vec<Candidate> = std::iter::once(own).chain(near.map(Peer::candidate)).collect();
+        let all: Vec<Candidate> =
+            std::iter::once(own).chain(zone_peers.map(Peer::candidate)).collect();
         gatherers::owner(service, &all) == Some(0)
     }
 
@@ -59,13 +60,14 @@
     ) -> Option<&'v Peer> {
         let now_ms = self.shared.now_ms();
         let cost = |p: &Peer| self.standing(&peer_key(&p.name)).borrow().cost(PEER_SLOTS, now_ms);
-        let mut near: Vec<&Peer> = peers.iter().filter(|p| &*p.zone == zone).copied().collect();
-        if near.is_empty() {
+        let mut zone_peers: Vec<&Peer> =
+            peers.iter().filter(|p| &*p.zone == zone).copied().collect();
+        if zone_peers.is_empty() {
             return None;
         }
-        let start = usize::try_from(tie_breaker % near.len() as u64).unwrap_or(0);
-        near.rotate_left(start);
-        near.into_iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))
+        let start = usize::try_from(tie_breaker % zone_peers.len() as u64).unwrap_or(0);
+        zone_peers.rotate_left(start);
+        zone_peers.into_iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))
     }
 
     /// Sends a request to another instance and updates its statistics with the result.
@@ -112,8 +114,8 @@
     pub(crate) async fn is_alive(&self, peer: &Peer, timeout: Duration) -> bool {
         let peer_request = Body::Alive(wire::Nothing {});
         // The link outlives this timeout, since a late response may still arrive on it.
-        let asking = self.links.ask(peer.addr, peer_request, LINK_RESPONSE_TIMEOUT);
-        matches!(tokio::time::timeout(timeout, asking).await, Ok(Ok(Body::Alive(_))))
+        let response = self.links.ask(peer.addr, peer_request, LINK_RESPONSE_TIMEOUT);
+        matches!(tokio::time::timeout(timeout, response).await, Ok(Ok(Body::Alive(_))))
     }
 
     /// Records that an instance does not respond.
--- a/crates/router/src/route_state.rs
+++ b/crates/router/src/route_state.rs
@@ -41,7 +41,7 @@
 ///
 /// With many shards some are late in most requests, and the other replica may have a queue too.
 const MAX_HEDGE_DIVISOR: u64 = 4;
-/// Latency quantile of merged answers after which the relaying instance is probed.
+/// Latency quantile of merged answers after which the gathering instance is probed.
 const RELAY_PROBE_PER_MILLE: u32 = 800;
 /// Divisor of the target latency that gives the maximum delay of that probe.
 const MAX_RELAY_PROBE_DIVISOR: u64 = 3;
@@ -103,8 +103,8 @@
     }
 
     /// Returns the delay before a send may be hedged, in milliseconds.
-    fn hedge_delay_ms(&self, target_ms: u64, is_scarce: bool) -> u64 {
-        let (per_mille, min_delay_ms) = if is_scarce {
+    fn hedge_delay_ms(&self, target_ms: u64, is_budget_low: bool) -> u64 {
+        let (per_mille, min_delay_ms) = if is_budget_low {
             (LOW_BUDGET_HEDGE_PER_MILLE, target_ms / LOW_BUDGET_MIN_HEDGE_DIVISOR)
         } else {
             (HEDGE_PER_MILLE, target_ms / MIN_HEDGE_DIVISOR)
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -249,8 +249,9 @@
         let now_ms = self.shared.now_ms();
         let mut retry_budgets = self.retry_budgets.borrow_mut();
         let retry_budget = retry_budgets.entry(Arc::clone(service)).or_default();
-        let is_scarce = retry_budget.is_scarce(&self.limits.get(), view.slack_sharers, now_ms);
-        wait_ms + if is_scarce { timing.low_budget_hedge_delay_ms } else { timing.hedge_delay_ms }
+        let is_budget_low = retry_budget.is_scarce(&self.limits.get(), view.slack_sharers, now_ms);
+        wait_ms
+            + if is_budget_low { timing.low_budget_hedge_delay_ms } else { timing.hedge_delay_ms }
     }
 
     /// Takes one extra send to `service` from its retry budget; false if the budget is empty.
@@ -265,12 +266,12 @@
     ///
     /// Includes the cross-zone penalty.
     pub(crate) fn cost_ms(&self, replica: &ReplicaEntry, timing: &Timing, budget_used: f64) -> f64 {
-        let cross_zone_ms = if replica.zone == self.zone {
+        let cross_zone_penalty_ms = if replica.zone == self.zone {
             0.0
         } else {
             timing.target_ms / CROSS_ZONE_PENALTY_DIVISOR
         };
-        self.estimate(replica, timing, budget_used).cost_ms + cross_zone_ms
+        self.estimate(replica, timing, budget_used).cost_ms + cross_zone_penalty_ms
     }
 
     /// Returns the used fraction of the retry budget of `service`, from 0 to 1.
@@ -333,8 +334,8 @@
                 } else {
                     standing.answered(took.as_secs_f64() * 1000.0, expected_ms, now_ms);
                     // Excludes the estimated time in the replica's queue.
-                    let worked = took.mul_f64(work_ms / expected_ms.max(work_ms));
-                    state.record_exchange(worked, now_ms);
+                    let work_time = took.mul_f64(work_ms / expected_ms.max(work_ms));
+                    state.record_exchange(work_time, now_ms);
                 }
             }
             Err(PartFailure::Shed(report)) => {
--- a/crates/router/src/told.rs
+++ b/crates/router/src/told.rs
@@ -26,7 +26,7 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a cast to an integer keeps to its range, and none of these is negative"
+    reason = "float-to-integer casts saturate, and the values are never negative"
 )]
 fn rounded(figure: f64) -> u32 {
     figure.round() as u32
--- a/crates/router/tests/delegates.rs
+++ b/crates/router/tests/delegates.rs
@@ -164,7 +164,7 @@
     });
 }
 
-/// A late answer that lacks one shard must be completed. The relaying instance answered in time
+/// A late answer that lacks one shard must be completed. The other instance answered in time
 /// without one late shard; the requesting one could not meet the target any more and gave up. A
 /// third of the requests with many slow replicas failed at the target with 82 of 83 shards covered
 /// and five times as much time left.
@@ -245,6 +245,6 @@
             assert_eq!((merged.signatures.len(), merged.missing), (SHARDS, 0));
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
-        panic!("no question was withdrawn");
+        panic!("no relay request was cancelled");
     });
 }
--- a/crates/router/tests/lost_relays.rs
+++ b/crates/router/tests/lost_relays.rs
@@ -78,9 +78,9 @@
     world
 }
 
-/// The shards of a frozen instance must be relayed to another one. Instances that relay have no
-/// retry budget to send the shards themselves. With many instances killed at once, answers lacked a
-/// third of their shards.
+/// The shards of a frozen instance must be relayed to another one. Instances that relay have almost
+/// no retry budget to send the shards themselves. With many instances killed at once, answers
+/// lacked a third of their shards.
 #[test]
 fn shards_of_a_frozen_instance_are_relayed_to_another() {
     in_real_time(async {
--- a/crates/router/tests/overload.rs
+++ b/crates/router/tests/overload.rs
@@ -53,7 +53,7 @@
         let started = tokio::time::Instant::now();
         let Outcome::Merged(merged) = world.serve("r1", 400).await else { panic!("refused") };
         assert_eq!(merged.missing, 1);
-        assert!(started.elapsed().as_millis() < 40, "waited for what was left out");
+        assert!(started.elapsed().as_millis() < 40, "waited for the left-out shard");
         assert_eq!(world.script.arrivals_at("s1/a") + world.script.arrivals_at("s1/b"), before);
     });
 }
