--- a/crates/eelgrasspier/src/control/claims.rs
+++ b/crates/eelgrasspier/src/control/claims.rs
@@ -12,7 +12,7 @@
 use super::Control;
 
 /// Buckets have owners under this name.
-const OWNERS: &str = "claims";
+const OWNER_HASH_NAME: &str = "claims";
 /// Bits in the lower half of a key.
 const HALF_BITS: u32 = 64;
 
@@ -27,9 +27,9 @@
         nonce: Nonce,
         until: Instant,
     ) -> Result<Outcome, ClaimError> {
-        if let Some(owner) = self.owner(key) {
+        if let Some(owner) = self.key_owner(key) {
             let half = until.saturating_duration_since(Instant::now()) / 2;
-            if let Some(outcome) = self.claim_at(owner, key, nonce, half).await {
+            if let Some(outcome) = self.claim_at_owner(owner, key, nonce, half).await {
                 return Ok(outcome);
             }
         }
@@ -37,39 +37,40 @@
     }
 
     /// The instance that owns the key's bucket; `None` if it is this one.
-    fn owner(&self, key: Key) -> Option<SocketAddr> {
-        self.owner_of(eelgrasspier_store::bucket_of(key))
+    fn key_owner(&self, key: Key) -> Option<SocketAddr> {
+        self.bucket_owner(eelgrasspier_store::bucket_of(key))
     }
 
     /// Whether this instance is the usual owner of a bucket.
-    pub(super) fn owns(&self, bucket: usize) -> bool {
-        self.owner_of(bucket).is_none()
+    pub(super) fn owns_bucket(&self, bucket: usize) -> bool {
+        self.bucket_owner(bucket).is_none()
     }
 
-    fn owner_of(&self, bucket: usize) -> Option<SocketAddr> {
+    fn bucket_owner(&self, bucket: usize) -> Option<SocketAddr> {
         let membership = self.membership.borrow();
-        let others: Vec<_> = membership.alive().filter(|m| m.state() == State::Ready).collect();
-        let mut keys: Vec<u64> = others.iter().map(|m| m.key()).collect();
+        let ready_members: Vec<_> =
+            membership.alive().filter(|m| m.state() == State::Ready).collect();
+        let mut keys: Vec<u64> = ready_members.iter().map(|m| m.key()).collect();
         keys.push(membership.own().key());
-        let owner = rendezvous::owner(rendezvous::hash(OWNERS) ^ bucket as u64, &keys)?;
-        others.get(owner)?.peer_addr.parse().ok()
+        let owner = rendezvous::owner(rendezvous::hash(OWNER_HASH_NAME) ^ bucket as u64, &keys)?;
+        ready_members.get(owner)?.peer_addr.parse().ok()
     }
 
-    async fn claim_at(
+    async fn claim_at_owner(
         &self,
         owner: SocketAddr,
         key: Key,
         nonce: Nonce,
-        time: Duration,
+        timeout: Duration,
     ) -> Option<Outcome> {
-        let time_left_ms = u64::try_from(time.as_millis()).unwrap_or(0);
+        let time_left_ms = u64::try_from(timeout.as_millis()).unwrap_or(0);
         let claim = Claim {
             key_high: u64::try_from(key.0 >> HALF_BITS).unwrap_or_default(),
             key_low: u64::try_from(key.0 & u128::from(u64::MAX)).unwrap_or_default(),
             nonce,
             time_left_ms,
         };
-        let Ok(Body::Claimed(claimed)) = self.links.ask(owner, Body::Claim(claim), time).await
+        let Ok(Body::Claimed(claimed)) = self.links.ask(owner, Body::Claim(claim), timeout).await
         else {
             return None;
         };
--- a/crates/eelgrasspier/src/control/members.rs
+++ b/crates/eelgrasspier/src/control/members.rs
@@ -14,21 +14,21 @@
 use crate::event;
 
 /// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Pause of the control thread after which its shares are no longer trusted.
 ///
 /// The others take a silent instance for dead after a few seconds; once the
 /// platform no longer lists it either they grow into its share.
 const MAX_PAUSE: Duration = Duration::from_secs(4);
 /// Least time between two reads of the platform's list.
-const LIST_EVERY: Duration = Duration::from_secs(3);
+const MIN_LIST_INTERVAL: Duration = Duration::from_secs(3);
 /// Time between reads for each instance, so that the fleet's rate stays at 20/s.
-const LIST_EVERY_FOR_EACH: Duration = Duration::from_millis(50);
+const LIST_INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(50);
 
 /// Pause between reads while the list does not show this instance yet.
-const UNLISTED_PAUSE: Duration = Duration::from_millis(500);
+const UNLISTED_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-pub(super) async fn receive_all(
+pub(super) async fn receive_datagrams(
     control: Rc<Control>,
     mut received: Pin<Box<dyn Stream<Item = (Datagram, SocketAddr)>>>,
 ) {
@@ -43,41 +43,41 @@
 }
 
 impl Control {
-    pub(super) async fn tick(self: Rc<Self>) {
+    pub(super) async fn run_ticks(self: Rc<Self>) {
         loop {
             self.check_pause();
             let now_ms = self.shared.now_ms();
             let sends = self.membership.borrow_mut().tick(now_ms, rand::random());
             self.send(sends);
-            self.greet_seeds();
+            self.contact_seeds();
             self.leaving.borrow_mut().expire(now_ms);
             self.refresh();
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
         }
     }
 
     /// Gives up all shares after a pause in which others may have taken them.
     fn check_pause(&self) {
-        let paused = self.last_tick.replace(Instant::now()).elapsed();
+        let paused = self.last_activity.replace(Instant::now()).elapsed();
         if paused < MAX_PAUSE {
             return;
         }
         self.record(event::PAUSED, &self.shared.settings.name, &format!("{paused:?}"));
         let own = self.membership.borrow().own().key();
         *self.agreement.borrow_mut() = Agreement::new(own);
-        self.conclude_again();
+        self.force_refresh();
         self.publish();
     }
 
     /// Lets the next look draw all conclusions anew, though no record has changed.
-    pub(super) fn conclude_again(&self) {
-        self.seen_epoch.set(u64::MAX);
+    pub(super) fn force_refresh(&self) {
+        self.processed_epoch.set(u64::MAX);
     }
 
-    fn greet_seeds(&self) {
-        const RANDOM_ONE_IN: u64 = 10;
+    fn contact_seeds(&self) {
+        const CONTACT_ONE_IN: u64 = 10;
         let mut membership = self.membership.borrow_mut();
-        if membership.alive_count() > 1 || !rand::random::<u64>().is_multiple_of(RANDOM_ONE_IN) {
+        if membership.alive_count() > 1 || !rand::random::<u64>().is_multiple_of(CONTACT_ONE_IN) {
             return;
         }
         let known = self.shared.settings.seeds.iter();
@@ -98,39 +98,39 @@
         let changes = self.membership.borrow_mut().take_changes();
         let has_changes = !changes.is_empty();
         for change in changes {
-            self.note(change);
+            self.on_member_change(change);
         }
         let epoch = self.membership.borrow().epoch();
-        if self.seen_epoch.replace(epoch) == epoch && !has_changes {
+        if self.processed_epoch.replace(epoch) == epoch && !has_changes {
             return;
         }
-        let has_moved = self.agree();
+        let has_moved = self.update_agreement();
         if has_moved || has_changes {
             self.publish();
-            self.duties.notify_waiters();
+            self.watch_roles_changed.notify_waiters();
         }
         self.fetch_newer_text();
     }
 
-    fn note(&self, change: Change) {
+    fn on_member_change(&self, change: Change) {
         match change {
             // Seen in the next view; not worth an event.
             Change::State(_) => {}
-            Change::Reported(report) => self.shared.take_report(&report),
+            Change::Reported(report) => self.shared.apply_peer_report(&report),
             Change::Joined(name) => self.record(event::MEMBER_JOINED, &name, ""),
             Change::Suspected(name) => self.record(event::MEMBER_SUSPECT, &name, ""),
             Change::Died(name) => self.record(event::MEMBER_DEAD, &name, ""),
             Change::Left(name) => self.record(event::MEMBER_LEFT, &name, ""),
             Change::Refuted => self.record(event::REFUTED, &self.shared.settings.name, ""),
             Change::ServerLeaving(LeavingServer { replica, incarnation }) => {
-                self.server_leaves(Server { replica, incarnation });
+                self.on_server_leaving(Server { replica, incarnation });
             }
         }
     }
 
     /// Takes the members into the share agreement; returns whether shares moved.
-    fn agree(&self) -> bool {
-        if !self.may_agree() {
+    fn update_agreement(&self) -> bool {
+        if !self.can_agree() {
             return false;
         }
         let mut membership = self.membership.borrow_mut();
@@ -159,20 +159,20 @@
     /// more connections at a replica than it allows. Of two instances that each see
     /// themselves listed, the later one sees the earlier. In an outage of the
     /// platform a peer that is ready knows the others.
-    fn may_agree(&self) -> bool {
+    fn can_agree(&self) -> bool {
         let membership = self.membership.borrow();
         self.is_listed.get() || membership.alive().any(|m| m.state() == State::Ready)
     }
 
     /// Notes and spreads that a backend server is leaving.
-    pub(super) fn server_leaves(&self, server: Server) {
-        let is_news = self.leaving.borrow_mut().note(server, self.shared.now_ms());
-        if !is_news {
+    pub(super) fn on_server_leaving(&self, server: Server) {
+        let is_new = self.leaving.borrow_mut().note(server, self.shared.now_ms());
+        if !is_new {
             return;
         }
         let Server { replica, incarnation } = server;
-        let spread = LeavingServer { replica, incarnation };
-        self.membership.borrow_mut().spread_leaving(spread);
+        let announcement = LeavingServer { replica, incarnation };
+        self.membership.borrow_mut().spread_leaving(announcement);
         self.record(event::SERVER_LEAVING, &self.server_name(replica), "");
         self.publish();
     }
@@ -185,11 +185,11 @@
     }
 
     /// Reads the platform's list of instances, more rarely the more there are.
-    pub(super) async fn follow_list(self: Rc<Self>) {
+    pub(super) async fn poll_instance_list(self: Rc<Self>) {
         loop {
             let read = self.store.instances().await;
-            self.note_platform(read.is_ok());
-            self.note_era();
+            self.record_platform_state(read.is_ok());
+            self.check_era();
             if let Ok(list) = read {
                 let listed: Vec<Listed> = list
                     .into_iter()
@@ -202,39 +202,39 @@
                 let own = &self.shared.settings.name;
                 if listed.iter().any(|l| l.name == *own) {
                     self.is_listed.set(true);
-                    self.conclude_again();
+                    self.force_refresh();
                 }
                 self.refresh();
             }
-            tokio::time::sleep(self.list_pause()).await;
+            tokio::time::sleep(self.list_interval()).await;
         }
     }
 
     /// Has what a restored platform lacks written again.
-    fn note_era(&self) {
+    fn check_era(&self) {
         let era = self.store.era();
-        let before = self.seen_era.replace(era);
+        let before = self.last_era.replace(era);
         if before == era {
             return;
         }
         self.record(event::RESTORED, &format!("era {era}"), &format!("before {before}"));
         self.restored.notify_waiters();
-        for bucket in (0..eelgrasspier_store::BUCKETS).filter(|bucket| self.owns(*bucket)) {
+        for bucket in (0..eelgrasspier_store::BUCKETS).filter(|bucket| self.owns_bucket(*bucket)) {
             self.claims.settle(bucket);
         }
     }
 
-    fn list_pause(&self) -> Duration {
+    fn list_interval(&self) -> Duration {
         if !self.is_listed.get() {
-            return UNLISTED_PAUSE;
+            return UNLISTED_POLL_INTERVAL;
         }
         let count = u32::try_from(self.membership.borrow().alive_count()).unwrap_or(u32::MAX);
-        let pause = LIST_EVERY.max(LIST_EVERY_FOR_EACH.saturating_mul(count));
-        pause.mul_f64(rand::random_range(0.75..1.25))
+        let interval = MIN_LIST_INTERVAL.max(LIST_INTERVAL_PER_INSTANCE.saturating_mul(count));
+        interval.mul_f64(rand::random_range(0.75..1.25))
     }
 
     /// Records when the platform stops or starts answering.
-    pub(super) fn note_platform(&self, is_up: bool) {
+    pub(super) fn record_platform_state(&self, is_up: bool) {
         if self.is_platform_up.replace(is_up) != is_up {
             let event = if is_up { event::PLATFORM_UP } else { event::PLATFORM_DOWN };
             self.record(event, &self.shared.settings.platform_url, "");
--- a/crates/eelgrasspier/src/control/mod.rs
+++ b/crates/eelgrasspier/src/control/mod.rs
@@ -24,13 +24,13 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 
 use crate::event;
-use crate::shared::{Ask, SharedRef};
+use crate::shared::{ControlRequest, SharedRef};
 use crate::view::{Peer, View};
 
 /// Instances that are told of a stop or a finding at once; gossip tells the rest.
-const FAREWELLS: usize = 16;
+const MAX_DIRECT_SENDS: usize = 16;
 /// Time for which the last datagrams may travel.
-const FAREWELL_TIME: Duration = Duration::from_millis(200);
+const DATAGRAM_FLUSH_TIME: Duration = Duration::from_millis(200);
 
 /// The state of the control thread.
 pub(crate) struct Control {
@@ -48,21 +48,21 @@
     outbox: mpsc::UnboundedSender<Send>,
     state: Cell<State>,
     serial: Cell<u64>,
-    last_tick: Cell<Instant>,
+    last_activity: Cell<Instant>,
     is_fetching: Cell<bool>,
     is_platform_up: Cell<bool>,
     /// The platform's era as of the last look.
-    seen_era: Cell<u64>,
+    last_era: Cell<u64>,
     /// Wakes the text's watcher after a restore of the platform.
     restored: Notify,
     /// Whether another instance that serves was asked for its text.
     is_confirmed: Cell<bool>,
     /// The members' epoch from which conclusions were last drawn.
-    seen_epoch: Cell<u64>,
+    processed_epoch: Cell<u64>,
     /// Whether the platform's list has shown this instance.
     is_listed: Cell<bool>,
     /// Wakes the text's watcher when its duties may have changed.
-    duties: Notify,
+    watch_roles_changed: Notify,
 }
 
 /// What the control thread serves.
@@ -77,17 +77,17 @@
     pub(crate) async fn start(
         shared: SharedRef,
         sockets: Sockets,
-        asks: mpsc::UnboundedReceiver<Ask>,
+        requests: mpsc::UnboundedReceiver<ControlRequest>,
     ) -> std::io::Result<()> {
         let (gossip, received) = eelgrasspier_peer::Gossip::bind(sockets.peer_addr).await?;
         let (outbox, outgoing) = mpsc::unbounded_channel();
         let settings = &shared.settings;
         let store: Rc<dyn ObjectStore> =
             Rc::new(HttpStore::new(&settings.platform_url, settings.platform_timeout_ms));
-        let stamps = Arc::clone(&shared);
+        let clock_owner = Arc::clone(&shared);
         let member = own_member(&shared, &sockets);
         let control = Rc::new(Self {
-            links: Links::new(Rc::new(move || stamps.timeline.clock().stamp())),
+            links: Links::new(Rc::new(move || clock_owner.timeline.clock().stamp())),
             claims: Claims::new(Rc::clone(&store)),
             store,
             agreement: RefCell::new(Agreement::new(member.key())),
@@ -99,72 +99,75 @@
             outbox,
             state: Cell::new(State::Starting),
             serial: Cell::new(0),
-            last_tick: Cell::new(Instant::now()),
+            last_activity: Cell::new(Instant::now()),
             is_fetching: Cell::new(false),
             is_platform_up: Cell::new(true),
-            seen_era: Cell::new(0),
+            last_era: Cell::new(0),
             restored: Notify::new(),
             is_confirmed: Cell::new(false),
-            seen_epoch: Cell::new(u64::MAX),
+            processed_epoch: Cell::new(u64::MAX),
             is_listed: Cell::new(false),
-            duties: Notify::new(),
+            watch_roles_changed: Notify::new(),
             shared,
         });
         actix_rt::spawn(gossip.send_all(outgoing));
-        actix_rt::spawn(members::receive_all(Rc::clone(&control), Box::pin(received)));
-        actix_rt::spawn(Rc::clone(&control).tick());
-        actix_rt::spawn(Rc::clone(&control).keep_gauges());
-        actix_rt::spawn(Rc::clone(&control).follow_list());
+        actix_rt::spawn(members::receive_datagrams(Rc::clone(&control), Box::pin(received)));
+        actix_rt::spawn(Rc::clone(&control).run_ticks());
+        actix_rt::spawn(Rc::clone(&control).run_gauge_updates());
+        actix_rt::spawn(Rc::clone(&control).poll_instance_list());
         actix_rt::spawn(Rc::clone(&control).follow_text());
-        actix_rt::spawn(Rc::clone(&control).answer_asks(asks));
+        actix_rt::spawn(Rc::clone(&control).handle_requests(requests));
         actix_rt::spawn(eelgrasspier_peer::serve(sockets.listener, control));
         Ok(())
     }
 
-    async fn answer_asks(self: Rc<Self>, mut asks: mpsc::UnboundedReceiver<Ask>) {
-        while let Some(ask) = asks.recv().await {
-            match ask {
-                Ask::Claim { key, nonce, until, done } => {
+    async fn handle_requests(
+        self: Rc<Self>,
+        mut requests: mpsc::UnboundedReceiver<ControlRequest>,
+    ) {
+        while let Some(request) = requests.recv().await {
+            match request {
+                ControlRequest::Claim { key, nonce, until, reply } => {
                     let control = Rc::clone(&self);
                     actix_rt::spawn(async move {
-                        drop(done.send(control.claim(key, nonce, until).await));
+                        drop(reply.send(control.claim(key, nonce, until).await));
                     });
                 }
-                Ask::Release { key, nonce } => self.claims.release(key, nonce),
-                Ask::Leaving(server) => self.server_leaves(server),
-                Ask::Submit { submitted, done } => {
+                ControlRequest::Release { key, nonce } => self.claims.release(key, nonce),
+                ControlRequest::ServerLeaving(server) => self.on_server_leaving(server),
+                ControlRequest::Submit { submitted, reply } => {
                     let control = Rc::clone(&self);
                     actix_rt::spawn(async move {
-                        drop(done.send(control.submit(submitted).await));
+                        drop(reply.send(control.submit(submitted).await));
                     });
                 }
-                Ask::Text { done } => {
+                ControlRequest::Text { reply } => {
                     // Whoever asked may have gone; then nobody wants the answer.
-                    let _gone = done.send(self.shown_text()).is_err();
+                    let _send_failed = reply.send(self.text_in_force()).is_err();
                 }
-                Ask::Status { done } => {
+                ControlRequest::Status { reply } => {
                     let control = Rc::clone(&self);
-                    actix_rt::spawn(async move { drop(done.send(control.all_status().await)) });
+                    actix_rt::spawn(async move { drop(reply.send(control.all_status().await)) });
                 }
-                Ask::Timeline { about, from_stamp, done } => {
+                ControlRequest::Timeline { about, from_stamp, reply } => {
                     let control = Rc::clone(&self);
                     actix_rt::spawn(async move {
-                        drop(done.send(control.all_events(&about, from_stamp).await));
+                        drop(reply.send(control.all_events(&about, from_stamp).await));
                     });
                 }
-                Ask::Tell(report) => self.tell(report),
-                Ask::Stop => self.set_state(State::Leaving),
-                Ask::Left { done } => self.leave(done),
+                ControlRequest::SendReport(report) => self.send_report(report),
+                ControlRequest::BeginStop => self.set_state(State::Leaving),
+                ControlRequest::AnnounceLeft { reply } => self.announce_left(reply),
             }
         }
     }
 
     /// Tells others what was found out of a request that ends backend servers.
-    fn tell(&self, report: Report) {
-        let most = (FAREWELLS, FAREWELLS);
+    fn send_report(&self, report: Report) {
+        let limits = (MAX_DIRECT_SENDS, MAX_DIRECT_SENDS);
         let now_ms = self.shared.now_ms();
         let mut membership = self.membership.borrow_mut();
-        for send in membership.tell_reports(&[report], now_ms, most, rand::random()) {
+        for send in membership.tell_reports(&[report], now_ms, limits, rand::random()) {
             drop(self.outbox.send(send));
         }
     }
@@ -177,20 +180,24 @@
     }
 
     /// Tells the others that all connections are let go, so that they may grow.
-    fn leave(&self, done: oneshot::Sender<()>) {
+    fn announce_left(&self, reply: oneshot::Sender<()>) {
         self.set_state(State::Left);
-        for send in self.membership.borrow_mut().farewell(FAREWELLS, FAREWELLS, rand::random()) {
+        for send in self.membership.borrow_mut().farewell(
+            MAX_DIRECT_SENDS,
+            MAX_DIRECT_SENDS,
+            rand::random(),
+        ) {
             drop(self.outbox.send(send));
         }
         actix_rt::spawn(async move {
-            tokio::time::sleep(FAREWELL_TIME).await;
-            let _gone = done.send(()).is_err();
+            tokio::time::sleep(DATAGRAM_FLUSH_TIME).await;
+            let _send_failed = reply.send(()).is_err();
         });
     }
 
     /// Publishes the present state to the traffic threads.
     fn publish(&self) {
-        if self.state.get() == State::Starting && self.may_serve() {
+        if self.state.get() == State::Starting && self.can_serve() {
             self.state.set(State::Ready);
             self.membership.borrow_mut().update_own(|m| m.state = State::Ready as i32);
             self.record(event::READY, &self.shared.settings.name, "");
@@ -200,7 +207,7 @@
             serial: self.serial.get(),
             version: self.in_force.borrow().version(),
             services: Arc::clone(&self.services.borrow()),
-            own: self.membership.borrow().own().key(),
+            own_key: self.membership.borrow().own().key(),
             bounds: self.agreement.borrow().bounds(),
             leaving: self.leaving.borrow().clone(),
             peers: self.peers(),
@@ -214,9 +221,9 @@
     /// The platform may answer with an old version. Members announce the version
     /// that they have in force, and a share is agreed on only once all of them were
     /// heard: whoever serves has the newest version that any of them knew.
-    fn may_serve(&self) -> bool {
+    fn can_serve(&self) -> bool {
         let membership = self.membership.borrow();
-        if membership.alive().any(|m| self.must_confirm(m)) {
+        if membership.alive().any(|m| self.needs_confirmation_from(m)) {
             return false;
         }
         let newest = membership.alive().map(|m| m.config_version).max();
--- a/crates/eelgrasspier/src/control/peers.rs
+++ b/crates/eelgrasspier/src/control/peers.rs
@@ -6,12 +6,12 @@
 use tokio::sync::oneshot;
 
 use super::Control;
-use crate::shared::PartsAsk;
+use crate::shared::PartsRequest;
 
 impl PeerService for Control {
-    fn answer(&self, question: Body) -> AnswerFuture<'_> {
+    fn answer(&self, request: Body) -> AnswerFuture<'_> {
         Box::pin(async move {
-            match question {
+            match request {
                 Body::TextAbove(version) => Body::Text(self.text_above(version)),
                 Body::Claim(claim) => Body::Claimed(self.claim_for_peer(claim).await),
                 Body::StatusAsk(_) => Body::Status(to_json(&self.own_status())),
@@ -19,7 +19,7 @@
                     let events = self.shared.timeline.entries(&ask.about, ask.from_stamp);
                     Body::Events(to_json(&events))
                 }
-                Body::Parts(parts) => self.parts(parts).await,
+                Body::Parts(parts) => self.forward_parts(parts).await,
                 _ => Body::Refused("not a question".to_owned()),
             }
         })
@@ -45,13 +45,13 @@
     }
 
     /// Hands parts that another instance asks for to a traffic thread.
-    async fn parts(&self, parts: Parts) -> Body {
-        let (done, answer) = oneshot::channel();
-        if let Some(gatherer) = self.shared.gatherer(rand::random()) {
-            drop(gatherer.send(PartsAsk { parts, done }));
+    async fn forward_parts(&self, parts: Parts) -> Body {
+        let (reply, answer) = oneshot::channel();
+        if let Some(parts_sender) = self.shared.parts_sender(rand::random()) {
+            drop(parts_sender.send(PartsRequest { parts, reply }));
         }
         match answer.await {
-            Ok(done) => Body::PartsDone(done),
+            Ok(reply) => Body::PartsDone(reply),
             Err(_) => Body::Refused("no traffic thread".to_owned()),
         }
     }
--- a/crates/eelgrasspier/src/control/status.rs
+++ b/crates/eelgrasspier/src/control/status.rs
@@ -14,9 +14,9 @@
 use super::Control;
 
 /// Time in which another instance must answer.
-const ASK_TIMEOUT: Duration = Duration::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// Instances that are asked at a time.
-const ASKED_AT_ONCE: usize = 64;
+const MAX_CONCURRENT_REQUESTS: usize = 64;
 
 impl Control {
     pub(super) fn own_status(&self) -> InstanceStatus {
@@ -41,12 +41,12 @@
     /// The state of every known instance; those that don't answer are named so.
     pub(super) async fn all_status(&self) -> Vec<InstanceStatus> {
         let others: Vec<Member> = self.membership.borrow().alive().cloned().collect();
-        let asked = others.iter().map(|member| async move {
-            let answer = self.ask_json(member, Body::StatusAsk(Nothing {})).await;
+        let requests = others.iter().map(|member| async move {
+            let answer = self.request_json(member, Body::StatusAsk(Nothing {})).await;
             answer.unwrap_or_else(|| unreachable_status(member))
         });
         let mut all: Vec<InstanceStatus> =
-            stream::iter(asked).buffer_unordered(ASKED_AT_ONCE).collect().await;
+            stream::iter(requests).buffer_unordered(MAX_CONCURRENT_REQUESTS).collect().await;
         all.push(self.own_status());
         all.sort_by(|a, b| a.name.cmp(&b.name));
         all
@@ -55,20 +55,21 @@
     /// The events of every live instance, in the order of their stamps.
     pub(super) async fn all_events(&self, about: &str, from_stamp: u64) -> Vec<TimelineEntry> {
         let others: Vec<Member> = self.membership.borrow().alive().cloned().collect();
-        let asked = others.iter().map(|member| {
+        let requests = others.iter().map(|member| {
             let ask = EventsAsk { about: about.to_owned(), from_stamp };
-            self.ask_json::<Vec<TimelineEntry>>(member, Body::EventsAsk(ask))
+            self.request_json::<Vec<TimelineEntry>>(member, Body::EventsAsk(ask))
         });
-        let answers: Vec<_> = stream::iter(asked).buffer_unordered(ASKED_AT_ONCE).collect().await;
+        let answers: Vec<_> =
+            stream::iter(requests).buffer_unordered(MAX_CONCURRENT_REQUESTS).collect().await;
         let mut all = self.shared.timeline.entries(about, from_stamp);
         all.extend(answers.into_iter().flatten().flatten());
         all.sort_by_key(|entry| entry.stamp);
         all
     }
 
-    async fn ask_json<T: DeserializeOwned>(&self, member: &Member, body: Body) -> Option<T> {
+    async fn request_json<T: DeserializeOwned>(&self, member: &Member, body: Body) -> Option<T> {
         let addr: SocketAddr = member.peer_addr.parse().ok()?;
-        match self.links.ask(addr, body, ASK_TIMEOUT).await {
+        match self.links.ask(addr, body, REQUEST_TIMEOUT).await {
             Ok(Body::Status(json) | Body::Events(json)) => serde_json::from_slice(&json).ok(),
             _ => None,
         }
--- a/crates/eelgrasspier/src/control/text.rs
+++ b/crates/eelgrasspier/src/control/text.rs
@@ -22,25 +22,25 @@
 /// Watchers of the platform in each availability zone.
 const WATCHERS_PER_ZONE: usize = 2;
 /// Length of one watch in milliseconds.
-const WATCH_MS: u64 = 20_000;
+const WATCH_DURATION_MS: u64 = 20_000;
 /// Least time between two polls of an instance that does not watch.
-const POLL_EVERY: Duration = Duration::from_secs(20);
+const MIN_POLL_INTERVAL: Duration = Duration::from_secs(20);
 /// Time between polls for each instance, so that the fleet's rate stays at 10/s.
-const POLL_EVERY_FOR_EACH: Duration = Duration::from_millis(100);
+const POLL_INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(100);
 /// Shortest and longest pause after a failed read, in milliseconds.
-const PAUSE_MS: (u64, u64) = (100, 3_000);
+const BACKOFF_RANGE_MS: (u64, u64) = (100, 3_000);
 /// Time in which another instance must hand over its text.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time over which instances spread that write the text again to a restored platform, in
 /// milliseconds.
-const WRITE_AGAIN_SPREAD_MS: u64 = 500;
+const MAX_REWRITE_JITTER_MS: u64 = 500;
 /// Time for which a submission is tried.
-const SUBMIT_TIME: Duration = Duration::from_secs(5);
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Control {
     /// Follows the text on the platform for as long as the thread runs.
     pub(super) async fn follow_text(self: Rc<Self>) {
-        let mut backoff = Backoff::new(PAUSE_MS.0, PAUSE_MS.1);
+        let mut backoff = Backoff::new(BACKOFF_RANGE_MS.0, BACKOFF_RANGE_MS.1);
         let mut is_first = true;
         loop {
             let read = if is_first {
@@ -48,22 +48,22 @@
             } else if self.is_watcher() {
                 let after = self.in_force.borrow().version().unwrap_or(0);
                 tokio::select! {
-                    read = self.store.watch(TEXT_OBJECT, after, WATCH_MS) => read,
+                    read = self.store.watch(TEXT_OBJECT, after, WATCH_DURATION_MS) => read,
                     () = self.restored.notified() => self.store.read(TEXT_OBJECT).await,
                 }
             } else {
                 self.wait_for_poll().await;
                 self.store.read(TEXT_OBJECT).await
             };
-            self.note_platform(read.is_ok());
+            self.record_platform_state(read.is_ok());
             match read {
                 Ok(object) => {
                     is_first = false;
                     backoff.reset();
                     if let Some(Object { version, value }) = object
-                        && self.offer(version, value, "platform") == Offered::Outdated
+                        && self.apply_text(version, value, "platform") == Offered::Outdated
                     {
-                        self.write_again(version).await;
+                        self.rewrite_text(version).await;
                     }
                 }
                 Err(_) => tokio::time::sleep(backoff.next_pause()).await,
@@ -75,9 +75,9 @@
     fn is_watcher(&self) -> bool {
         let membership = self.membership.borrow();
         let own = membership.own();
-        let near = membership.alive().filter(|m| m.zone == own.zone);
+        let same_zone = membership.alive().filter(|m| m.zone == own.zone);
         let keys: Vec<u64> =
-            near.chain([own]).map(eelgrasspier_decide::membership::Member::key).collect();
+            same_zone.chain([own]).map(eelgrasspier_decide::membership::Member::key).collect();
         let key = rendezvous::hash(TEXT_OBJECT);
         rendezvous::is_in_top(key, own.key(), &keys, WATCHERS_PER_ZONE)
     }
@@ -85,10 +85,10 @@
     /// Waits for the next poll, or until this instance may have become a watcher.
     async fn wait_for_poll(&self) {
         let count = u32::try_from(self.membership.borrow().alive_count()).unwrap_or(u32::MAX);
-        let pause = POLL_EVERY.max(POLL_EVERY_FOR_EACH.saturating_mul(count));
+        let pause = MIN_POLL_INTERVAL.max(POLL_INTERVAL_PER_INSTANCE.saturating_mul(count));
         let until = Instant::now() + pause.mul_f64(rand::random_range(0.75..1.25));
         while !self.is_watcher() {
-            let changed = self.duties.notified();
+            let changed = self.watch_roles_changed.notified();
             if tokio::time::timeout_at(until.into(), changed).await.is_err() {
                 return;
             }
@@ -96,7 +96,7 @@
     }
 
     /// Puts a stored text in force, if it is newer than the one that is.
-    pub(super) fn offer(&self, version: u64, value: Bytes, source: &str) -> Offered {
+    pub(super) fn apply_text(&self, version: u64, value: Bytes, source: &str) -> Offered {
         if self.in_force.borrow().version() == Some(version) {
             return Offered::Known;
         }
@@ -114,7 +114,7 @@
         let before = self.in_force.borrow().version();
         let offered = self.in_force.borrow_mut().offer(version, &stored.remembered());
         match &offered {
-            Offered::Taken { lost } => self.note_lost(lost, &about),
+            Offered::Taken { lost } => self.record_lost_edits(lost, &about),
             Offered::Known => {
                 if before > Some(version) {
                     let detail = format!("from {source}, in force {before:?}");
@@ -138,7 +138,7 @@
     }
 
     /// Tells of accepted edits that a text is not made from, with who submitted them.
-    fn note_lost(&self, lost: &[u64], about: &str) {
+    fn record_lost_edits(&self, lost: &[u64], about: &str) {
         let stored = self.stored.borrow().clone().and_then(|s| StoredText::decode(s).ok());
         let edits = stored.map(|s| s.edits).unwrap_or_default();
         for edit in edits.iter().filter(|e| lost.contains(&e.edit_id)) {
@@ -153,17 +153,17 @@
     /// Writes the text in force over the older one of a restored platform.
     ///
     /// Several may try at once: the condition lets one of them through.
-    async fn write_again(&self, older: u64) {
-        let pause_ms = rand::random_range(0..WRITE_AGAIN_SPREAD_MS);
-        tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+    async fn rewrite_text(&self, stored_version: u64) {
+        let jitter_ms = rand::random_range(0..MAX_REWRITE_JITTER_MS);
+        tokio::time::sleep(Duration::from_millis(jitter_ms)).await;
         let Some(value) = self.stored.borrow().clone() else { return };
-        match self.store.update(TEXT_OBJECT, Some(older), value.clone()).await {
+        match self.store.update(TEXT_OBJECT, Some(stored_version), value.clone()).await {
             Ok(version) => {
-                self.offer(version, value, "written again");
+                self.apply_text(version, value, "written again");
             }
             Err(error) => self.record(
                 event::TEXT_STALE,
-                &format!("version {}", Position::from_number(older)),
+                &format!("version {}", Position::from_number(stored_version)),
                 &format!("not written again: {error}"),
             ),
         }
@@ -173,7 +173,7 @@
     pub(super) fn fetch_newer_text(self: &Rc<Self>) {
         let own = self.in_force.borrow().version().unwrap_or(0);
         let membership = self.membership.borrow();
-        let is_wanted = |m: &&Member| m.config_version > own || self.must_confirm(m);
+        let is_wanted = |m: &&Member| m.config_version > own || self.needs_confirmation_from(m);
         let newest = membership.alive().filter(is_wanted).max_by_key(|m| m.config_version);
         let Some(member) = newest else { return };
         // What is known here may be older, whatever its number.
@@ -185,32 +185,32 @@
         let control = Rc::clone(self);
         let name = member.name.clone();
         actix_rt::spawn(async move {
-            let asked = control.links.ask(addr, Body::TextAbove(own), FETCH_TIMEOUT).await;
-            if let Ok(Body::Text(text)) = asked {
+            let reply = control.links.ask(addr, Body::TextAbove(own), FETCH_TIMEOUT).await;
+            if let Ok(Body::Text(text)) = reply {
                 if text.version > 0 {
-                    control.offer(text.version, text.stored, &name);
+                    control.apply_text(text.version, text.stored, &name);
                 }
                 if !control.is_confirmed.replace(true) {
                     control.publish();
                 }
             } else {
-                tokio::time::sleep(Duration::from_millis(PAUSE_MS.0)).await;
+                tokio::time::sleep(Duration::from_millis(BACKOFF_RANGE_MS.0)).await;
             }
             control.is_fetching.set(false);
             // Where the fetch failed or a newer text was announced meanwhile, the
             // next look asks again; no record need change for that.
-            control.conclude_again();
+            control.force_refresh();
         });
     }
 
     /// Whether this instance starts and has not heard another that serves: a restored platform may
     /// have an older text than the others have in force.
-    pub(super) fn must_confirm(&self, member: &Member) -> bool {
+    pub(super) fn needs_confirmation_from(&self, member: &Member) -> bool {
         let is_starting = self.state.get() == State::Starting && !self.is_confirmed.get();
         is_starting && member.state() == State::Ready && member.config_version > 0
     }
 
-    pub(super) fn shown_text(&self) -> Option<ShownText> {
+    pub(super) fn text_in_force(&self) -> Option<ShownText> {
         let stored = self.stored.borrow().clone()?;
         let text = StoredText::decode(stored).ok()?.text;
         Some(ShownText { version: self.in_force.borrow().version()?, text })
@@ -221,13 +221,13 @@
         if let Err(errors) = Services::try_from(submitted.text.as_str()) {
             return SubmitAnswer::Broken { errors: errors.to_string() };
         }
-        let until = Instant::now() + SUBMIT_TIME;
-        let mut backoff = Backoff::new(PAUSE_MS.0, PAUSE_MS.1);
+        let until = Instant::now() + SUBMIT_TIMEOUT;
+        let mut backoff = Backoff::new(BACKOFF_RANGE_MS.0, BACKOFF_RANGE_MS.1);
         let mut reason = String::new();
         while Instant::now() < until {
             match self.try_submit(&submitted).await {
                 Ok(answer) => {
-                    self.note_submission(&submitted, &answer);
+                    self.record_submission(&submitted, &answer);
                     return answer;
                 }
                 Err(error) => reason = error,
@@ -235,7 +235,7 @@
             tokio::time::sleep(backoff.next_pause()).await;
         }
         let answer = SubmitAnswer::Unknown { reason };
-        self.note_submission(&submitted, &answer);
+        self.record_submission(&submitted, &answer);
         answer
     }
 
@@ -246,8 +246,8 @@
             None => (0, StoredText::default()),
             Some(Object { version, value }) => {
                 let stored = StoredText::decode(value.clone()).map_err(|e| e.to_string())?;
-                if self.offer(version, value, "platform") == Offered::Outdated {
-                    self.write_again(version).await;
+                if self.apply_text(version, value, "platform") == Offered::Outdated {
+                    self.rewrite_text(version).await;
                     return Err("the restored platform has an older text".to_owned());
                 }
                 (version, stored)
@@ -272,7 +272,7 @@
         let expected = (version > 0).then_some(version);
         match self.store.update(TEXT_OBJECT, expected, value.clone()).await {
             Ok(version) => {
-                self.offer(version, value, "submission");
+                self.apply_text(version, value, "submission");
                 Ok(SubmitAnswer::Accepted { version })
             }
             // The next try reads again and finds the edit, or another one.
@@ -281,7 +281,7 @@
         }
     }
 
-    fn note_submission(&self, submitted: &Submitted, answer: &SubmitAnswer) {
+    fn record_submission(&self, submitted: &Submitted, answer: &SubmitAnswer) {
         let event = match answer {
             SubmitAnswer::Accepted { .. } | SubmitAnswer::Superseded { .. } => event::EDIT_ACCEPTED,
             SubmitAnswer::Conflict { .. } => event::EDIT_CONFLICT,
--- a/crates/eelgrasspier/src/suspicion.rs
+++ b/crates/eelgrasspier/src/crash_tracker.rs
@@ -14,47 +14,47 @@
 
 /// Servers that have lost a request which nobody has answered from which further sends wait
 /// until it is known whether they have ended. One is lost often.
-const LOST_FROM: usize = 2;
+const MIN_LOSSES_TO_DEFER: usize = 2;
 /// Pause between two looks whether that is known.
-const LOOK_EVERY: Duration = Duration::from_millis(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Time for which it is waited for: a refused connection takes a way there and back.
-const FINDING_TIME: Duration = Duration::from_millis(60);
+const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(60);
 /// Time for which others of the same request wait for the end of a trial, in milliseconds.
-const TRIAL_MS: u64 = 100;
+const MAX_TRIAL_MS: u64 = 100;
 
 /// What shows of one request while it is worked on.
 #[derive(Debug)]
-pub(crate) struct Suspicion {
+pub(crate) struct CrashTracker {
     shared: SharedRef,
-    pub(crate) request: Fingerprint,
-    id: Rc<str>,
+    pub(crate) fingerprint: Fingerprint,
+    request_id: Rc<str>,
     is_answered: Cell<bool>,
-    lost: Cell<usize>,
+    loss_count: Cell<usize>,
     /// Whether it is being tried on one server by itself.
     is_trial: Cell<bool>,
 }
 
-impl Suspicion {
+impl CrashTracker {
     /// A query or a run of `service`, the only parts that its servers are given besides the shard.
     pub(crate) fn new(
         shared: &SharedRef,
         (service, kind): (&str, &str),
         body: &[u8],
-        id: &Rc<str>,
+        request_id: &Rc<str>,
     ) -> Self {
         Self {
             shared: SharedRef::clone(shared),
-            request: Fingerprint::of(&[service.as_bytes(), kind.as_bytes(), body]),
-            id: Rc::clone(id),
+            fingerprint: Fingerprint::of(&[service.as_bytes(), kind.as_bytes(), body]),
+            request_id: Rc::clone(request_id),
             is_answered: Cell::new(false),
-            lost: Cell::new(0),
+            loss_count: Cell::new(0),
             is_trial: Cell::new(false),
         }
     }
 
     /// How the request is treated now.
     pub(crate) fn treatment(&self) -> Treatment {
-        self.shared.treatment(self.request)
+        self.shared.treatment(self.fingerprint)
     }
 
     /// Whether a server has answered it.
@@ -63,57 +63,58 @@
     }
 
     /// Whether nothing more is sent until more is known.
-    pub(crate) fn is_held_back(&self) -> bool {
+    pub(crate) fn should_defer(&self) -> bool {
         !self.is_answered.get()
-            && (self.lost.get() >= LOST_FROM || self.treatment() != Treatment::Usual)
+            && (self.loss_count.get() >= MIN_LOSSES_TO_DEFER
+                || self.treatment() != Treatment::Usual)
     }
 
     /// Notes that a server has answered it.
-    pub(crate) fn answered(&self) {
+    pub(crate) fn record_answer(&self) {
         if !self.is_answered.replace(true) {
-            self.shared.note_answered(self.request);
+            self.shared.record_answer(self.fingerprint);
         }
     }
 
     /// Notes that a server has lost it, and finds out whether that has ended.
-    pub(crate) fn lost(&self, replica: &Replica) {
+    pub(crate) fn record_loss(&self, replica: &Replica) {
         if self.is_answered.get() {
             return;
         }
-        self.lost.set(self.lost.get() + 1);
+        self.loss_count.set(self.loss_count.get() + 1);
         let (server, addr) = (replica.spec.id, replica.spec.addr);
-        let send = relays::mark(&format!("{} {server}", self.id));
-        let lost = Lost { request: self.request, send, is_tried: self.is_trial.get() };
-        if self.shared.note_lost(server, lost) != Known::Unknown {
+        let send = relays::mark(&format!("{} {server}", self.request_id));
+        let lost = Lost { request: self.fingerprint, send, is_tried: self.is_trial.get() };
+        if self.shared.record_loss(server, lost) != Known::Unknown {
             return;
         }
         let shared = SharedRef::clone(&self.shared);
         actix_rt::spawn(async move {
-            let has_ended = eelgrasspier_backend::has_ended(addr).await;
-            shared.note_checked(server, has_ended);
+            let has_crashed = eelgrasspier_backend::has_ended(addr).await;
+            shared.record_crash_check(server, has_crashed);
         });
     }
 
     /// Waits until it is known of all servers that have lost it whether they have ended.
-    pub(crate) async fn settle(&self) {
-        let looks = FINDING_TIME.as_millis() / LOOK_EVERY.as_millis();
-        for _ in 0..looks {
-            tokio::time::sleep(LOOK_EVERY).await;
-            if self.shared.awaited_losses(self.request) == 0 {
+    pub(crate) async fn wait_for_crash_checks(&self) {
+        let polls = CRASH_CHECK_TIMEOUT.as_millis() / POLL_INTERVAL.as_millis();
+        for _ in 0..polls {
+            tokio::time::sleep(POLL_INTERVAL).await;
+            if self.shared.pending_crash_checks(self.fingerprint) == 0 {
                 break;
             }
         }
-        self.lost.set(0);
+        self.loss_count.set(0);
     }
 
     /// A trial on one server, until dropped; `None` while another one is made.
     pub(crate) fn begin_trial(&self) -> Option<Trial<'_>> {
-        let is_free = self.shared.begin_trial(self.request, TRIAL_MS);
-        is_free.then(|| self.as_trial())
+        let is_free = self.shared.begin_trial(self.fingerprint, MAX_TRIAL_MS);
+        is_free.then(|| self.enter_trial())
     }
 
     /// The same where another instance has begun it.
-    pub(crate) fn as_trial(&self) -> Trial<'_> {
+    pub(crate) fn enter_trial(&self) -> Trial<'_> {
         self.is_trial.set(true);
         Trial(self)
     }
@@ -126,11 +127,11 @@
 
 /// A request that is being tried on one server by itself.
 #[derive(Debug)]
-pub(crate) struct Trial<'a>(&'a Suspicion);
+pub(crate) struct Trial<'a>(&'a CrashTracker);
 
 impl Drop for Trial<'_> {
     fn drop(&mut self) {
         self.0.is_trial.set(false);
-        self.0.shared.end_trial(self.0.request);
+        self.0.shared.end_trial(self.0.fingerprint);
     }
 }
--- a/crates/eelgrasspier/src/daemon.rs
+++ b/crates/eelgrasspier/src/daemon.rs
@@ -16,16 +16,16 @@
 use crate::clock::epoch_ms;
 use crate::control::{Control, Sockets};
 use crate::event;
+use crate::quarantine::QuarantineState;
 use crate::settings::Settings;
-use crate::shared::{Ask, Shared, SharedRef};
-use crate::suspects::Suspects;
+use crate::shared::{ControlRequest, Shared, SharedRef};
 use crate::timeline::Timeline;
-use crate::traffic::Traffic;
+use crate::traffic::TrafficThread;
 use crate::view::View;
 use crate::web;
 
 /// Ports that are tried where any free one will do for both TCP and UDP.
-const PORT_TRIES: usize = 50;
+const MAX_PORT_ATTEMPTS: usize = 50;
 /// Latencies that are measured; docs/METRICS.md lists them with the other metrics.
 const LATENCIES: &[Latency] = &[
     Latency {
@@ -40,7 +40,7 @@
     },
 ];
 /// Largest body of an operator's request: the text, escaped as JSON.
-const MAX_ADMIN_BYTES: usize = 4 << 20;
+const MAX_ADMIN_BODY_BYTES: usize = 4 << 20;
 /// Time for which an idle caller's connection is kept.
 const CALLER_KEEP_ALIVE: Duration = Duration::from_secs(75);
 
@@ -69,8 +69,8 @@
     let peer = bind_peer(settings.peer_addr).map_err(StartError::Bind)?;
     let http_addr = http.local_addr().map_err(StartError::Bind)?;
     let peer_addr = peer.local_addr().map_err(StartError::Bind)?;
-    let (control, asks) = mpsc::unbounded_channel();
-    let shared = share(settings, control);
+    let (control, requests) = mpsc::unbounded_channel();
+    let shared = new_shared(settings, control);
     let about = &shared.settings.name;
     let detail = format!("http {http_addr} peer {peer_addr}");
     shared.timeline.record(event::STARTED, about, &detail);
@@ -78,23 +78,23 @@
     println!("{{\"http\":\"{http_addr}\",\"peer\":\"{peer_addr}\"}}");
 
     let arbiter = actix_rt::Arbiter::new();
-    let (started, is_started) = oneshot::channel();
+    let (started, start_result) = oneshot::channel();
     let control_shared = Arc::clone(&shared);
     arbiter.spawn(async move {
-        let result = start_control(control_shared, peer, peer_addr, http_addr, asks).await;
+        let result = start_control(control_shared, peer, peer_addr, http_addr, requests).await;
         drop(started.send(result));
     });
-    let result = is_started.await.unwrap_or_else(|_| Err(io::Error::other("control ended")));
+    let result = start_result.await.unwrap_or_else(|_| Err(io::Error::other("control ended")));
     result.map_err(StartError::Bind)?;
 
     let result = serve_http(http, Arc::clone(&shared), metrics).await;
-    shared.ask(|done| Ask::Left { done }).await;
+    shared.call_control(|reply| ControlRequest::AnnounceLeft { reply }).await;
     shared.timeline.record(event::LEFT, &shared.settings.name, "");
     arbiter.stop();
     result.map_err(StartError::Serve)
 }
 
-fn share(settings: Settings, control: mpsc::UnboundedSender<Ask>) -> SharedRef {
+fn new_shared(settings: Settings, control: mpsc::UnboundedSender<ControlRequest>) -> SharedRef {
     let incarnation = epoch_ms();
     let id = InstanceId { name: settings.name.clone(), incarnation };
     Arc::new(Shared {
@@ -106,8 +106,8 @@
         control,
         warm_threads: std::sync::atomic::AtomicUsize::new(0),
         snapshots: std::sync::Mutex::default(),
-        suspects: Suspects::default(),
-        gatherers: std::sync::Mutex::default(),
+        quarantine: QuarantineState::default(),
+        parts_senders: std::sync::Mutex::default(),
     })
 }
 
@@ -116,36 +116,36 @@
     listener: TcpListener,
     peer_addr: SocketAddr,
     http_addr: SocketAddr,
-    asks: mpsc::UnboundedReceiver<Ask>,
+    requests: mpsc::UnboundedReceiver<ControlRequest>,
 ) -> io::Result<()> {
     listener.set_nonblocking(true)?;
     let listener = tokio::net::TcpListener::from_std(listener)?;
-    Control::start(shared, Sockets { listener, peer_addr, http_addr }, asks).await
+    Control::start(shared, Sockets { listener, peer_addr, http_addr }, requests).await
 }
 
 /// Binds TCP where UDP is free too: peers use the same port for both.
 fn bind_peer(addr: SocketAddr) -> io::Result<TcpListener> {
-    let mut last = io::Error::other("no port free for both TCP and UDP");
-    for _ in 0..PORT_TRIES {
+    let mut last_error = io::Error::other("no port free for both TCP and UDP");
+    for _ in 0..MAX_PORT_ATTEMPTS {
         let listener = TcpListener::bind(addr)?;
         match UdpSocket::bind(listener.local_addr()?) {
             Ok(_) => return Ok(listener),
-            Err(error) if addr.port() == 0 => last = error,
+            Err(error) if addr.port() == 0 => last_error = error,
             Err(error) => return Err(error),
         }
     }
-    Err(last)
+    Err(last_error)
 }
 
 async fn serve_http(listener: TcpListener, shared: SharedRef, metrics: Page) -> io::Result<()> {
     let stop_limit_s = shared.settings.stop_limit_ms.div_ceil(1000);
     let workers = shared.settings.traffic_threads;
-    let for_workers = Arc::clone(&shared);
+    let worker_shared = Arc::clone(&shared);
     let server = HttpServer::new(move || {
         App::new()
-            .app_data(Data::new(Traffic::start(Arc::clone(&for_workers))))
+            .app_data(Data::new(TrafficThread::start(Arc::clone(&worker_shared))))
             .app_data(Data::new(metrics.clone()))
-            .app_data(actix_web::web::JsonConfig::default().limit(MAX_ADMIN_BYTES))
+            .app_data(actix_web::web::JsonConfig::default().limit(MAX_ADMIN_BODY_BYTES))
             .configure(web::routes)
     })
     .workers(workers)
@@ -166,7 +166,7 @@
 /// Not ready, but still serving: balancers need a moment to notice.
 async fn begin_stop(shared: &Shared) {
     shared.timeline.record(event::LEAVING, &shared.settings.name, "");
-    drop(shared.control.send(Ask::Stop));
+    drop(shared.control.send(ControlRequest::BeginStop));
     tokio::time::sleep(Duration::from_millis(shared.settings.lame_duck_ms)).await;
 }
 
--- /dev/null
+++ b/crates/eelgrasspier/src/exchange.rs
@@ -0,0 +1,94 @@
+//! One exchange on its way, which is cancelled when it is no longer wanted.
+
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::{Duration, Instant};
+
+use eelgrasspier_backend::{Exchanger, PartAnswer, PartFailure, PartFuture};
+
+use crate::replica::{ConnectionKind, Permit, Replica};
+
+/// Time that a cancelled exchange has to end, before its connection is closed.
+///
+/// A connection costs several milliseconds to open again, so it is worth waiting
+/// for the server to act on the cancellation; a silent one is closed.
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(30);
+
+/// One exchange; dropping it early tells the server to stop working.
+pub(crate) struct PendingExchange {
+    state: Option<ExchangeState>,
+}
+
+struct ExchangeState {
+    exchange: PartFuture<PartAnswer>,
+    permit: Permit,
+    id: String,
+    exchanger: Rc<dyn Exchanger>,
+    started: Instant,
+    /// The same in milliseconds since the process started.
+    started_ms: u64,
+}
+
+/// The end of an exchange.
+pub(crate) struct CompletedExchange {
+    pub(crate) replica: Rc<Replica>,
+    pub(crate) result: Result<PartAnswer, PartFailure>,
+    pub(crate) took: Duration,
+}
+
+impl PendingExchange {
+    pub(crate) fn new(
+        exchange: PartFuture<PartAnswer>,
+        permit: Permit,
+        id: String,
+        exchanger: Rc<dyn Exchanger>,
+        started_ms: u64,
+    ) -> Self {
+        let started = Instant::now();
+        Self { state: Some(ExchangeState { exchange, permit, id, exchanger, started, started_ms }) }
+    }
+}
+
+impl Future for PendingExchange {
+    type Output = CompletedExchange;
+
+    fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<CompletedExchange> {
+        let Some(state) = &mut self.state else { return Poll::Pending };
+        let Poll::Ready(result) = state.exchange.as_mut().poll(context) else {
+            return Poll::Pending;
+        };
+        let replica = Rc::clone(state.permit.replica());
+        let took = state.started.elapsed();
+        self.state = None;
+        Poll::Ready(CompletedExchange { replica, result, took })
+    }
+}
+
+impl Drop for PendingExchange {
+    fn drop(&mut self) {
+        if let Some(state) = self.state.take() {
+            metrics::counter!("eelgrasspier_parts_cancelled_total").increment(1);
+            let elapsed_us = u64::try_from(state.started.elapsed().as_micros()).unwrap_or(u64::MAX);
+            let now_ms = state.started_ms + elapsed_us / 1000;
+            state.permit.replica().load.borrow_mut().outrun(elapsed_us, now_ms);
+            actix_rt::spawn(cancel_exchange(state));
+        }
+    }
+}
+
+async fn cancel_exchange(state: ExchangeState) {
+    let replica = state.permit.replica();
+    let addr = replica.spec.addr;
+    let cancellation = replica.acquire(ConnectionKind::Query).map(|permit| {
+        let cancel = state.exchanger.cancel(addr, &state.id, CANCEL_TIMEOUT);
+        async move {
+            drop(cancel.await);
+            drop(permit);
+        }
+    });
+    if let Some(cancellation) = cancellation {
+        actix_rt::spawn(cancellation);
+    }
+    drop(actix_rt::time::timeout(CANCEL_TIMEOUT, state.exchange).await);
+}
--- a/crates/eelgrasspier/src/slices.rs
+++ b/crates/eelgrasspier/src/forward.rs
@@ -18,28 +18,28 @@
 use eelgrasspier_peer::wire::{Body, Missed, Part, Parts, PartsDone};
 use tokio::sync::mpsc;
 
-use crate::gather::{self, Gathered, Outcomes, Reach};
-use crate::part::{Miss, PartContext};
-use crate::query::QUERY;
+use crate::crash_tracker::CrashTracker;
+use crate::gather::{self, Forwarding, GatherResult, ShardResults};
+use crate::part::{MissReason, PartContext};
+use crate::query::QUERY_KIND;
 use crate::service::ServiceState;
-use crate::shared::PartsAsk;
-use crate::suspicion::Suspicion;
-use crate::traffic::Traffic;
+use crate::shared::PartsRequest;
+use crate::traffic::TrafficThread;
 
 /// Time that is kept for the way back from another instance.
-const WAY_BACK: Duration = Duration::from_millis(2);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(2);
 
 /// Groups shards by an instance that holds a connection to one of their replicas.
 ///
 /// The second list names shards for which there is no such instance now.
-pub(crate) fn by_peer(
+pub(crate) fn group_by_peer(
     context: &PartContext,
     shards: &[ShardId],
 ) -> (BTreeMap<SocketAddr, Vec<ShardId>>, Vec<ShardId>) {
     let mut groups: BTreeMap<SocketAddr, Vec<ShardId>> = BTreeMap::new();
     let mut unreachable = Vec::new();
     for &shard in shards {
-        match holder(context, shard, &[]) {
+        match pick_peer(context, shard, &[]) {
             Some(addr) => groups.entry(addr).or_default().push(shard),
             None => unreachable.push(shard),
         }
@@ -50,12 +50,16 @@
 /// A live instance in the slice of one of the shard's replicas, drawn at random.
 ///
 /// Replicas in `tried` do not count.
-pub(crate) fn holder(context: &PartContext, shard: ShardId, tried: &[u64]) -> Option<SocketAddr> {
-    holder_of(&context.traffic, &context.service, shard, tried)
+pub(crate) fn pick_peer(
+    context: &PartContext,
+    shard: ShardId,
+    tried: &[u64],
+) -> Option<SocketAddr> {
+    pick_peer_for(&context.traffic, &context.service, shard, tried)
 }
 
-fn holder_of(
-    traffic: &Traffic,
+fn pick_peer_for(
+    traffic: &TrafficThread,
     service: &ServiceState,
     shard: ShardId,
     tried: &[u64],
@@ -65,28 +69,28 @@
     let spec = &service.spec;
     let limit = spec.connections - spec.run_connections;
     let replicas = spec.shards.get(shard as usize)?;
-    let holds = |key: u64| {
+    let has_connections_to = |key: u64| {
         let others = replicas.iter().filter(|r| !tried.contains(&r.id));
         others.into_iter().any(|r| rendezvous::is_in_top(r.id, key, members, limit as usize))
     };
-    let live = view.peers.iter().filter(|peer| holds(peer.key));
-    let live: Vec<Holder> =
-        live.map(|peer| Holder { key: peer.key, is_ready: peer.is_ready }).collect();
-    let asked = holders::pick(&live, rand::random())?;
-    view.peers.iter().find(|peer| peer.key == asked).map(|peer| peer.addr)
+    let candidates = view.peers.iter().filter(|peer| has_connections_to(peer.key));
+    let candidates: Vec<Holder> =
+        candidates.map(|peer| Holder { key: peer.key, is_ready: peer.is_ready }).collect();
+    let chosen_key = holders::pick(&candidates, rand::random())?;
+    view.peers.iter().find(|peer| peer.key == chosen_key).map(|peer| peer.addr)
 }
 
 /// Asks another instance for parts.
 ///
 /// With [`Reach::OwnSlice`] it is to pass nothing on, not even as a hedge.
-pub(crate) async fn ask(
+pub(crate) async fn request_parts(
     context: &PartContext,
     peer: SocketAddr,
     shards: Vec<ShardId>,
-    reach: Reach,
-) -> Outcomes {
+    forwarding: Forwarding,
+) -> ShardResults {
     let left = context.cutoff.saturating_duration_since(Instant::now());
-    let time_left_ms = u64::try_from(left.saturating_sub(WAY_BACK).as_millis()).unwrap_or(0);
+    let time_left_ms = u64::try_from(left.saturating_sub(RESPONSE_MARGIN).as_millis()).unwrap_or(0);
     let parts = Parts {
         service: context.service.name.to_string(),
         request_id: context.request_id.to_string(),
@@ -94,42 +98,51 @@
         shards: shards.clone(),
         time_left_ms,
         body: context.body.clone(),
-        is_last: reach == Reach::OwnSlice,
-        is_trial: context.suspicion.is_trial(),
+        is_last: forwarding == Forwarding::Forbidden,
+        is_trial: context.crash_tracker.is_trial(),
     };
     metrics::counter!("eelgrasspier_slices_asked_total").increment(1);
     match context.traffic.links.ask(peer, Body::Parts(parts), left).await {
-        Ok(Body::PartsDone(done)) => outcomes(done),
+        Ok(Body::PartsDone(reply)) => results_from_wire(reply),
         Ok(_) => all_missed(&shards, "peer refused"),
         Err(error) => all_missed(&shards, &error.to_string()),
     }
 }
 
-fn outcomes(done: PartsDone) -> Outcomes {
-    let parts = done.parts.into_iter().map(|part| (part.shard, Ok(part.body)));
-    let missed = done.missed.into_iter().map(|m| (m.shard, Err(read_miss(&m.reason))));
+fn results_from_wire(reply: PartsDone) -> ShardResults {
+    let parts = reply.parts.into_iter().map(|part| (part.shard, Ok(part.body)));
+    let missed = reply.missed.into_iter().map(|m| (m.shard, Err(parse_miss_reason(&m.reason))));
     parts.chain(missed).collect()
 }
 
-fn all_missed(shards: &[ShardId], reason: &str) -> Outcomes {
-    shards.iter().map(|&shard| (shard, Err(Miss::Failed(reason.to_owned())))).collect()
+fn all_missed(shards: &[ShardId], reason: &str) -> ShardResults {
+    shards.iter().map(|&shard| (shard, Err(MissReason::Failed(reason.to_owned())))).collect()
 }
 
-fn read_miss(reason: &str) -> Miss {
-    let known = [Miss::Late, Miss::NoReplica, Miss::VersionGone, Miss::Shed, Miss::Held];
+fn parse_miss_reason(reason: &str) -> MissReason {
+    let known = [
+        MissReason::Late,
+        MissReason::NoReplica,
+        MissReason::VersionGone,
+        MissReason::Shed,
+        MissReason::Deferred,
+    ];
     let named = known.into_iter().find(|miss| miss.to_string() == reason);
-    named.unwrap_or_else(|| Miss::Failed(reason.to_owned()))
+    named.unwrap_or_else(|| MissReason::Failed(reason.to_owned()))
 }
 
 /// Gathers parts that other instances ask for, for as long as the thread runs.
-pub(crate) async fn serve(traffic: Rc<Traffic>, mut asked: mpsc::UnboundedReceiver<PartsAsk>) {
-    while let Some(PartsAsk { parts, mut done }) = asked.recv().await {
+pub(crate) async fn serve_peers(
+    traffic: Rc<TrafficThread>,
+    mut requests: mpsc::UnboundedReceiver<PartsRequest>,
+) {
+    while let Some(PartsRequest { parts, mut reply }) = requests.recv().await {
         let traffic = Rc::clone(&traffic);
         actix_rt::spawn(async move {
             // The asker may give up or go away: then the work here stops too.
             tokio::select! {
-                answer = gather_for_peer(&traffic, parts) => drop(done.send(answer)),
-                () = done.closed() => {}
+                answer = gather_for_peer(&traffic, parts) => drop(reply.send(answer)),
+                () = reply.closed() => {}
             }
         });
     }
@@ -139,24 +152,24 @@
 ///
 /// An instance whose slice holds no replica of a service hears of no version itself,
 /// and would refuse every query for want of a snapshot.
-pub(crate) async fn ask_snapshot(
-    traffic: &Traffic,
+pub(crate) async fn request_snapshot(
+    traffic: &TrafficThread,
     service: &ServiceState,
     until: Instant,
 ) -> Option<Snapshot> {
     // Any holder will do, but it must be one: others hear of no version either.
     let mut shards = (0..service.spec.shards.len()).filter_map(|s| ShardId::try_from(s).ok());
-    let peer = shards.find_map(|shard| holder_of(traffic, service, shard, &[]))?;
-    let question = Parts { service: service.name.to_string(), ..Parts::default() };
+    let peer = shards.find_map(|shard| pick_peer_for(traffic, service, shard, &[]))?;
+    let request = Parts { service: service.name.to_string(), ..Parts::default() };
     let left = until.saturating_duration_since(Instant::now());
-    let answer = traffic.links.ask(peer, Body::Parts(question), left).await;
+    let answer = traffic.links.ask(peer, Body::Parts(request), left).await;
     let Ok(Body::PartsDone(PartsDone { version, shard_count, .. })) = answer else { return None };
     let reachable = shard_count;
     (shard_count > 0).then_some(Snapshot { version, shard_count, reachable })
 }
 
 /// The snapshot that this instance would choose, for one that hears of none.
-fn own_choice(traffic: &Rc<Traffic>, service: &str) -> PartsDone {
+fn own_snapshot(traffic: &Rc<TrafficThread>, service: &str) -> PartsDone {
     let chosen = traffic.service(service).and_then(|s| traffic.choose_snapshot(&s));
     chosen.map_or_else(PartsDone::default, |s| PartsDone {
         version: s.version,
@@ -165,21 +178,21 @@
     })
 }
 
-async fn gather_for_peer(traffic: &Rc<Traffic>, parts: Parts) -> PartsDone {
+async fn gather_for_peer(traffic: &Rc<TrafficThread>, parts: Parts) -> PartsDone {
     if parts.version == 0 {
-        return own_choice(traffic, &parts.service);
+        return own_snapshot(traffic, &parts.service);
     }
     let service = traffic.service(&parts.service);
     let snapshot = service.as_ref().and_then(|s| traffic.snapshot_at(s, parts.version));
     let (Some(service), Some(snapshot)) = (service, snapshot) else {
-        return none(&parts.shards, &Miss::VersionGone);
+        return all_missed_reply(&parts.shards, &MissReason::VersionGone);
     };
     let request_id: Rc<str> = parts.request_id.as_str().into();
-    let of = (parts.service.as_str(), QUERY);
-    let suspicion = Suspicion::new(&traffic.shared, of, &parts.body, &request_id);
-    if suspicion.treatment() != Treatment::Usual && !parts.is_trial {
+    let scope = (parts.service.as_str(), QUERY_KIND);
+    let crash_tracker = CrashTracker::new(&traffic.shared, scope, &parts.body, &request_id);
+    if crash_tracker.treatment() != Treatment::Usual && !parts.is_trial {
         // Whoever asks tries it on one server.
-        return none(&parts.shards, &Miss::Held);
+        return all_missed_reply(&parts.shards, &MissReason::Deferred);
     }
     let context = PartContext {
         traffic: Rc::clone(traffic),
@@ -188,23 +201,23 @@
         body: parts.body,
         snapshot,
         cutoff: Instant::now() + Duration::from_millis(parts.time_left_ms),
-        reach: if parts.is_last { Reach::OwnSlice } else { Reach::Hedges },
-        slowest: Cell::default(),
-        suspicion,
+        forwarding: if parts.is_last { Forwarding::Forbidden } else { Forwarding::HedgesOnly },
+        slowest_exchange: Cell::default(),
+        crash_tracker,
     };
-    let _trial = parts.is_trial.then(|| context.suspicion.as_trial());
+    let _trial = parts.is_trial.then(|| context.crash_tracker.enter_trial());
     let gathered = gather::gather(&context, &parts.shards).await;
-    to_wire(gathered)
+    reply_to_wire(gathered)
 }
 
-fn none(shards: &[ShardId], miss: &Miss) -> PartsDone {
+fn all_missed_reply(shards: &[ShardId], miss: &MissReason) -> PartsDone {
     let missed = shards.iter().map(|&shard| Missed { shard, reason: miss.to_string() });
     PartsDone { missed: missed.collect(), ..PartsDone::default() }
 }
 
-fn to_wire(gathered: Gathered) -> PartsDone {
+fn reply_to_wire(gathered: GatherResult) -> PartsDone {
     let part = |(shard, body)| Part { shard, body };
-    let missed = |(shard, miss): (ShardId, Miss)| Missed { shard, reason: miss.to_string() };
+    let missed = |(shard, miss): (ShardId, MissReason)| Missed { shard, reason: miss.to_string() };
     PartsDone {
         parts: gathered.parts.into_iter().map(part).collect(),
         missed: gathered.missed.into_iter().map(missed).collect(),
--- a/crates/eelgrasspier/src/lib.rs
+++ b/crates/eelgrasspier/src/lib.rs
@@ -6,20 +6,20 @@
 
 pub mod clock;
 mod control;
+mod crash_tracker;
 mod daemon;
 pub mod event;
-mod flight;
+mod exchange;
+mod forward;
 mod gather;
 mod part;
+mod quarantine;
 mod query;
 mod replica;
 mod run;
 mod service;
 mod settings;
 mod shared;
-mod slices;
-mod suspects;
-mod suspicion;
 pub mod timeline;
 mod traffic;
 mod view;
--- a/crates/eelgrasspier/src/part.rs
+++ b/crates/eelgrasspier/src/part.rs
@@ -13,17 +13,17 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 
-use crate::flight::{Flight, Landed};
-use crate::gather::{Reach, Source};
-use crate::replica::{Lane, Replica};
+use crate::crash_tracker::CrashTracker;
+use crate::exchange::{CompletedExchange, PendingExchange};
+use crate::forward;
+use crate::gather::{Forwarding, ShardFuture};
+use crate::replica::{ConnectionKind, Replica};
 use crate::service::ServiceState;
-use crate::slices;
-use crate::suspicion::Suspicion;
-use crate::traffic::Traffic;
+use crate::traffic::TrafficThread;
 
 /// Why a shard is missed.
 #[derive(Debug, Display, Clone, PartialEq, Eq)]
-pub(crate) enum Miss {
+pub(crate) enum MissReason {
     /// late
     Late,
     /// no replica holds the index version
@@ -33,7 +33,7 @@
     /// shed
     Shed,
     /// held back since servers were lost
-    Held,
+    Deferred,
     /// {0}
     Failed(String),
 }
@@ -41,34 +41,34 @@
 /// What all parts of one query have in common.
 #[derive(Debug)]
 pub(crate) struct PartContext {
-    pub(crate) traffic: Rc<Traffic>,
+    pub(crate) traffic: Rc<TrafficThread>,
     pub(crate) service: Rc<ServiceState>,
     pub(crate) request_id: Rc<str>,
     pub(crate) body: Bytes,
     pub(crate) snapshot: Snapshot,
     pub(crate) cutoff: Instant,
     /// Which shards and hedges other instances may be asked for.
-    pub(crate) reach: Reach,
+    pub(crate) forwarding: Forwarding,
     /// The longest exchange that brought a part, to tell the own time from theirs.
-    pub(crate) slowest: Cell<Duration>,
+    pub(crate) slowest_exchange: Cell<Duration>,
     /// Its part in the ends of servers.
-    pub(crate) suspicion: Suspicion,
+    pub(crate) crash_tracker: CrashTracker,
 }
 
 /// One part on its way.
-struct Part<'a> {
+struct PartTask<'a> {
     context: &'a PartContext,
     shard: ShardId,
     tried: Vec<u64>,
-    flights: FuturesUnordered<Flight>,
+    in_flight: FuturesUnordered<PendingExchange>,
     /// A hedge by way of another instance.
-    elsewhere: Option<Source<'a>>,
+    remote_hedge: Option<ShardFuture<'a>>,
 }
 
 /// What comes first of the exchanges and the hedge elsewhere.
-enum Arrived {
-    Here(Landed),
-    Elsewhere(Option<Bytes>),
+enum Completion {
+    Local(CompletedExchange),
+    Remote(Option<Bytes>),
 }
 
 /// What made an exchange start, for the extra load's count.
@@ -80,95 +80,98 @@
 }
 
 /// Gathers one part; dropped early, whatever is on its way is cancelled.
-pub(crate) async fn gather(context: &PartContext, shard: ShardId) -> Result<Bytes, Miss> {
-    let mut part = Part {
+pub(crate) async fn gather_part(
+    context: &PartContext,
+    shard: ShardId,
+) -> Result<Bytes, MissReason> {
+    let mut part = PartTask {
         context,
         shard,
         tried: Vec::new(),
-        flights: FuturesUnordered::new(),
-        elsewhere: None,
+        in_flight: FuturesUnordered::new(),
+        remote_hedge: None,
     };
-    part.launch_first().await?;
+    part.start_first_exchange().await?;
     context.service.hedges.borrow_mut().earn();
     context.service.retries.borrow_mut().earn();
-    part.finish().await
+    part.wait_for_answer().await
 }
 
-impl Part<'_> {
+impl PartTask<'_> {
     /// Starts the first exchange, waiting for a free connection if need be.
-    async fn launch_first(&mut self) -> Result<(), Miss> {
+    async fn start_first_exchange(&mut self) -> Result<(), MissReason> {
         loop {
-            let freed = self.context.traffic.freed.notified();
-            if self.launch(Cause::First) {
+            let connection_freed = self.context.traffic.connection_freed.notified();
+            if self.start_exchange(Cause::First) {
                 return Ok(());
             }
-            if self.holders().next().is_none() {
-                return Err(Miss::NoReplica);
+            if self.eligible_replicas().next().is_none() {
+                return Err(MissReason::NoReplica);
             }
-            freed.await;
+            connection_freed.await;
         }
     }
 
-    async fn finish(&mut self) -> Result<Bytes, Miss> {
-        let mut hedge_after = self.hedge_after();
+    async fn wait_for_answer(&mut self) -> Result<Bytes, MissReason> {
+        let mut hedge_delay = self.hedge_delay();
         loop {
-            let arrived = match hedge_after {
-                None => self.arrive().await,
+            let completion = match hedge_delay {
+                None => self.next_completion().await,
                 Some(pause) => {
-                    let waited = tokio::time::timeout(pause, self.arrive()).await;
-                    let Ok(arrived) = waited else {
-                        hedge_after = None;
-                        self.hedge();
+                    let waited = tokio::time::timeout(pause, self.next_completion()).await;
+                    let Ok(completion) = waited else {
+                        hedge_delay = None;
+                        self.send_hedge();
                         continue;
                     };
-                    arrived
+                    completion
                 }
             };
-            let landed = match arrived {
-                Arrived::Here(landed) => landed,
-                Arrived::Elsewhere(Some(body)) => return Ok(body),
-                Arrived::Elsewhere(None) if self.flights.is_empty() => {
-                    return Err(Miss::NoReplica);
+            let completed = match completion {
+                Completion::Local(completed) => completed,
+                Completion::Remote(Some(body)) => return Ok(body),
+                Completion::Remote(None) if self.in_flight.is_empty() => {
+                    return Err(MissReason::NoReplica);
                 }
-                Arrived::Elsewhere(None) => continue,
+                Completion::Remote(None) => continue,
             };
-            self.context.traffic.landed(&self.context.service, &landed);
-            match landed.result {
+            self.context.traffic.on_exchange_completed(&self.context.service, &completed);
+            match completed.result {
                 Ok(answer) => {
-                    self.context.suspicion.answered();
-                    let slowest = &self.context.slowest;
-                    slowest.set(slowest.get().max(landed.took));
+                    self.context.crash_tracker.record_answer();
+                    let slowest_exchange = &self.context.slowest_exchange;
+                    slowest_exchange.set(slowest_exchange.get().max(completed.took));
                     return Ok(answer.body);
                 }
                 Err(failure) => {
                     if matches!(failure, PartFailure::Lost(_)) {
-                        self.context.suspicion.lost(&landed.replica);
+                        self.context.crash_tracker.record_loss(&completed.replica);
                     }
-                    self.failed(failure)?;
+                    self.handle_failure(failure)?;
                 }
             }
         }
     }
 
     /// Waits for an exchange, or for the hedge elsewhere, which is then used up.
-    async fn arrive(&mut self) -> Arrived {
-        let Some(elsewhere) = &mut self.elsewhere else {
-            return self.flights.next().await.map_or(Arrived::Elsewhere(None), Arrived::Here);
+    async fn next_completion(&mut self) -> Completion {
+        let Some(remote_hedge) = &mut self.remote_hedge else {
+            return self.in_flight.next().await.map_or(Completion::Remote(None), Completion::Local);
         };
-        let outcomes = if self.flights.is_empty() {
-            elsewhere.await
+        let outcomes = if self.in_flight.is_empty() {
+            remote_hedge.await
         } else {
             tokio::select! {
-                Some(landed) = self.flights.next() => return Arrived::Here(landed),
-                outcomes = elsewhere => outcomes,
+                Some(completed) = self.in_flight.next() => return Completion::Local(completed),
+                outcomes = remote_hedge => outcomes,
             }
         };
-        self.elsewhere = None;
-        Arrived::Elsewhere(outcomes.into_iter().find_map(|(_, outcome)| outcome.ok()))
+        self.remote_hedge = None;
+        Completion::Remote(outcomes.into_iter().find_map(|(_, outcome)| outcome.ok()))
     }
 
     /// The wait before a hedge; `None` where there is to be none.
-    fn hedge_after(&self) -> Option<Duration> {
+    fn hedge_delay(&self) -> Option<Duration> {
         let per_mille = self.context.traffic.shared.settings.policy.hedge_per_mille;
         if per_mille == 0 || self.context.service.spec.hedge_percent == 0 {
             return None;
@@ -177,49 +180,52 @@
         quantile_us.map(Duration::from_micros)
     }
 
-    fn hedge(&mut self) {
+    fn send_hedge(&mut self) {
         let context = self.context;
-        if context.suspicion.is_held_back() {
+        if context.crash_tracker.should_defer() {
             return;
         }
-        let is_here = !self.candidates().is_empty();
-        let peer = match context.reach {
-            _ if is_here => None,
-            Reach::OwnSlice => return,
+        let is_local = !self.candidates().is_empty();
+        let peer = match context.forwarding {
+            _ if is_local => None,
+            Forwarding::Forbidden => return,
             // The other replicas may be in other instances' slices only.
-            Reach::Everywhere | Reach::Hedges => slices::holder(context, self.shard, &self.tried),
+            Forwarding::Allowed | Forwarding::HedgesOnly => {
+                forward::pick_peer(context, self.shard, &self.tried)
+            }
         };
-        if (!is_here && peer.is_none()) || !context.service.hedges.borrow_mut().spend() {
+        if (!is_local && peer.is_none()) || !context.service.hedges.borrow_mut().spend() {
             return;
         }
         match peer {
             None => {
-                self.launch(Cause::Hedge);
+                self.start_exchange(Cause::Hedge);
             }
             Some(peer) => {
-                count(Cause::Hedge);
-                let asked = slices::ask(context, peer, vec![self.shard], Reach::OwnSlice);
-                self.elsewhere = Some(Box::pin(asked));
+                count_exchange(Cause::Hedge);
+                let asked =
+                    forward::request_parts(context, peer, vec![self.shard], Forwarding::Forbidden);
+                self.remote_hedge = Some(Box::pin(asked));
             }
         }
     }
 
     /// Tries another replica where one may do better; else the part is missed.
-    fn failed(&mut self, failure: PartFailure) -> Result<(), Miss> {
-        let is_held = self.context.suspicion.is_held_back();
-        let may_retry = failure.is_retryable() && !is_held && !self.candidates().is_empty();
+    fn handle_failure(&mut self, failure: PartFailure) -> Result<(), MissReason> {
+        let is_deferred = self.context.crash_tracker.should_defer();
+        let may_retry = failure.is_retryable() && !is_deferred && !self.candidates().is_empty();
         if may_retry && self.context.service.retries.borrow_mut().spend() {
-            self.launch(Cause::Retry);
+            self.start_exchange(Cause::Retry);
         }
-        if !self.flights.is_empty() || self.elsewhere.is_some() {
+        if !self.in_flight.is_empty() || self.remote_hedge.is_some() {
             return Ok(());
         }
         Err(match failure {
-            PartFailure::Lost(_) if is_held => Miss::Held,
-            PartFailure::WrongVersion(_) => Miss::VersionGone,
-            PartFailure::Shed(_) => Miss::Shed,
-            PartFailure::TimedOut => Miss::Late,
-            other => Miss::Failed(other.to_string()),
+            PartFailure::Lost(_) if is_deferred => MissReason::Deferred,
+            PartFailure::WrongVersion(_) => MissReason::VersionGone,
+            PartFailure::Shed(_) => MissReason::Shed,
+            PartFailure::TimedOut => MissReason::Late,
+            other => MissReason::Failed(other.to_string()),
         })
     }
 
@@ -228,13 +234,13 @@
     /// A shard whose replicas are all down is missed at once. To try one all the same
     /// would hold up every query until its cut-off; the probes find the replica back
     /// within a moment of its return.
-    fn holders(&self) -> impl Iterator<Item = &Rc<Replica>> {
+    fn eligible_replicas(&self) -> impl Iterator<Item = &Rc<Replica>> {
         let Snapshot { version, shard_count, .. } = self.context.snapshot;
         let held = Held { version, shard_count };
         let replicas = self.context.service.shards.get(self.shard as usize);
         replicas.into_iter().flatten().filter(move |r| {
-            let is_reached = r.limit(Lane::Query) > 0 && !r.is_down();
-            is_reached && self.context.traffic.is_open(r) && r.may_hold(held)
+            let is_reachable = r.limit(ConnectionKind::Query) > 0 && !r.is_down();
+            is_reachable && self.context.traffic.accepts_work(r) && r.may_hold(held)
         })
     }
 
@@ -247,8 +253,8 @@
             replicas.and_then(|all| all.iter().position(|r| Rc::ptr_eq(r, replica)))
         };
         let free: Vec<&Rc<Replica>> = self
-            .holders()
-            .filter(|r| r.is_free(Lane::Query) && !self.tried.contains(&r.spec.id))
+            .eligible_replicas()
+            .filter(|r| r.is_free(ConnectionKind::Query) && !self.tried.contains(&r.spec.id))
             .collect();
         free.into_iter()
             .filter_map(|r| {
@@ -260,7 +266,7 @@
     }
 
     /// Starts an exchange with the best candidate; returns whether there was one.
-    fn launch(&mut self, cause: Cause) -> bool {
+    fn start_exchange(&mut self, cause: Cause) -> bool {
         let context = self.context;
         let choice = context.traffic.shared.settings.policy.choice;
         let Some(index) = replica::pick(&self.candidates(), choice, rand::random()) else {
@@ -269,7 +275,7 @@
         let Some(replica) = context.service.shards[self.shard as usize].get(index) else {
             return false;
         };
-        let Some(permit) = replica.take(Lane::Query) else { return false };
+        let Some(permit) = replica.acquire(ConnectionKind::Query) else { return false };
         let id = format!("{}.{}.{}", context.request_id, self.shard, self.tried.len());
         self.tried.push(replica.spec.id);
         let request = PartRequest {
@@ -285,19 +291,19 @@
         };
         let exchanger = context.traffic.exchanger();
         let exchange = exchanger.exchange(request);
-        self.flights.push(Flight::new(
+        self.in_flight.push(PendingExchange::new(
             exchange,
             permit,
             id,
             exchanger,
             context.traffic.shared.now_ms(),
         ));
-        count(cause);
+        count_exchange(cause);
         true
     }
 }
 
-fn count(cause: Cause) {
+fn count_exchange(cause: Cause) {
     let cause = match cause {
         Cause::First => "first",
         Cause::Hedge => "hedge",
--- a/crates/eelgrasspier/src/run.rs
+++ b/crates/eelgrasspier/src/run.rs
@@ -13,25 +13,25 @@
 use eelgrasspier_store::ClaimError;
 
 use crate::clock::epoch_ms;
+use crate::crash_tracker::CrashTracker;
 use crate::event;
-use crate::flight::{Flight, Landed};
-use crate::replica::{Lane, Permit};
+use crate::exchange::{CompletedExchange, PendingExchange};
+use crate::replica::{ConnectionKind, Permit};
 use crate::service::ServiceState;
-use crate::shared::Ask;
-use crate::suspicion::Suspicion;
-use crate::traffic::Traffic;
+use crate::shared::ControlRequest;
+use crate::traffic::TrafficThread;
 
 /// Time that is kept for the backend server's work when a key is being claimed.
-const KEPT_FOR_WORK: Duration = Duration::from_millis(50);
+const MIN_EXECUTION_TIME: Duration = Duration::from_millis(50);
 /// Pause between looks for a free connection.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+const CONNECTION_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// When to come back where the platform did not confirm.
-const CLAIM_RETRY_MS: u64 = 1_000;
+const CLAIM_RETRY_AFTER_MS: u64 = 1_000;
 /// When to come back where no backend server took the request.
-const REPLICA_RETRY_MS: u64 = 500;
+const REPLICA_RETRY_AFTER_MS: u64 = 500;
 
 /// Kind of these requests, as part of their fingerprints.
-const RUN: &str = "run";
+const RUN_KIND: &str = "run";
 
 /// A checked request that must not run twice.
 #[derive(Debug)]
@@ -44,17 +44,17 @@
 }
 
 /// The claim of one attempt; dropped before anything was sent, it is given back.
-struct Claim<'a> {
+struct ClaimGuard<'a> {
     run: &'a Run,
-    traffic: &'a Traffic,
+    traffic: &'a TrafficThread,
     nonce: Nonce,
     attempt: Attempt,
 }
 
-impl Drop for Claim<'_> {
+impl Drop for ClaimGuard<'_> {
     fn drop(&mut self) {
         if self.attempt == Attempt::Holding {
-            let ask = Ask::Release { key: self.run.call.key, nonce: self.nonce };
+            let ask = ControlRequest::Release { key: self.run.call.key, nonce: self.nonce };
             drop(self.traffic.shared.control.send(ask));
         }
     }
@@ -62,21 +62,21 @@
 
 impl Run {
     /// Runs the request at most once, or refuses it with a true verdict.
-    pub(crate) async fn answer(self, traffic: &Rc<Traffic>) -> Result<RunAnswer, Refusal> {
+    pub(crate) async fn execute(self, traffic: &Rc<TrafficThread>) -> Result<RunAnswer, Refusal> {
         self.check_shard()?;
-        let of = (&*self.service.name, RUN);
-        let suspicion = Suspicion::new(&traffic.shared, of, &self.body, &self.request_id);
-        let treatment = suspicion.treatment();
+        let scope = (&*self.service.name, RUN_KIND);
+        let crash_tracker = CrashTracker::new(&traffic.shared, scope, &self.body, &self.request_id);
+        let treatment = crash_tracker.treatment();
         if let Treatment::Refused(left_ms) = treatment {
             return Err(Refusal::not_run(RefusalReason::EndsReplicas, Some(left_ms)));
         }
         // It goes to one server as it is; what ends that one has nothing beside it.
-        let trial = (treatment == Treatment::OneByOne).then(|| suspicion.as_trial());
+        let trial = (treatment == Treatment::OneByOne).then(|| crash_tracker.enter_trial());
         let call = &self.call.call;
-        let entered = self.service.enter(&call.team, call.weight, self.deadline, epoch_ms).await?;
-        let result = self.claim_and_send(traffic, &suspicion).await;
+        let admitted = self.service.admit(&call.team, call.weight, self.deadline, epoch_ms).await?;
+        let result = self.claim_and_send(traffic, &crash_tracker).await;
         drop(trial);
-        drop(entered);
+        drop(admitted);
         if let Err(refusal) = &result {
             let detail = format!("{}: {}", refusal.verdict, refusal.reason);
             traffic.shared.timeline.record(event::RUN_REFUSED, &self.request_id, &detail);
@@ -99,18 +99,18 @@
 
     async fn claim_and_send(
         &self,
-        traffic: &Rc<Traffic>,
-        suspicion: &Suspicion,
+        traffic: &Rc<TrafficThread>,
+        crash_tracker: &CrashTracker,
     ) -> Result<RunAnswer, Refusal> {
         // The connection comes first: a claim without one would only be given back.
-        let permit = self.permit(traffic, None).await?;
+        let permit = self.acquire_permit(traffic, None).await?;
         let mut claim = self.claim(traffic).await?;
         let record = |e, detail: &str| traffic.shared.timeline.record(e, &self.request_id, detail);
         record(event::RUN_CLAIMED, &format!("key {} nonce {}", self.call.key_text, claim.nonce));
         let mut permit = permit;
         loop {
             if Instant::now() >= self.deadline {
-                return Err(Refusal::not_run(RefusalReason::TooLate, Some(REPLICA_RETRY_MS)));
+                return Err(Refusal::not_run(RefusalReason::TooLate, Some(REPLICA_RETRY_AFTER_MS)));
             }
             let Some(sent) = claim.attempt.send() else {
                 return Err(Refusal::may_have_run(RefusalReason::AlreadyClaimed));
@@ -118,78 +118,86 @@
             claim.attempt = sent;
             let replica = Rc::clone(permit.replica());
             record(event::RUN_SENT, &replica.spec.addr.to_string());
-            let landed = self.send(traffic, permit).await;
-            traffic.landed(&self.service, &landed);
-            match landed.result {
+            let completed = self.send(traffic, permit).await;
+            traffic.on_exchange_completed(&self.service, &completed);
+            match completed.result {
                 Ok(answer) => {
-                    suspicion.answered();
+                    crash_tracker.record_answer();
                     record(event::RUN_DONE, "");
                     let request_id = self.request_id.to_string();
                     return Ok(RunAnswer { request_id, body: answer.body });
                 }
                 Err(PartFailure::NotReached(_)) => {
                     claim.attempt = claim.attempt.not_sent();
-                    permit = self.permit(traffic, Some(replica.spec.id)).await?;
+                    permit = self.acquire_permit(traffic, Some(replica.spec.id)).await?;
                 }
                 Err(failure) => {
                     if matches!(failure, PartFailure::Lost(_)) {
-                        suspicion.lost(&replica);
+                        crash_tracker.record_loss(&replica);
                     }
-                    return Err(refuse(&mut claim, &failure));
+                    return Err(refusal_for(&mut claim, &failure));
                 }
             }
         }
     }
 
-    async fn claim<'a>(&'a self, traffic: &'a Traffic) -> Result<Claim<'a>, Refusal> {
+    async fn claim<'a>(&'a self, traffic: &'a TrafficThread) -> Result<ClaimGuard<'a>, Refusal> {
         let nonce: Nonce = rand::random();
         let key = self.call.key;
-        let until = self.deadline.checked_sub(KEPT_FOR_WORK).unwrap_or(self.deadline);
-        let asked = traffic.shared.ask(|done| Ask::Claim { key, nonce, until, done }).await;
-        let outcome = asked.unwrap_or(Err(ClaimError::Unavailable));
+        let until = self.deadline.checked_sub(MIN_EXECUTION_TIME).unwrap_or(self.deadline);
+        let answer = traffic
+            .shared
+            .call_control(|reply| ControlRequest::Claim { key, nonce, until, reply })
+            .await;
+        let outcome = answer.unwrap_or(Err(ClaimError::Unavailable));
         let attempt = outcome.as_ref().map_or(Attempt::GivenUp, |o| Attempt::Claiming.resolved(*o));
         match outcome {
-            Ok(Outcome::Granted) => Ok(Claim { run: self, traffic, nonce, attempt }),
+            Ok(Outcome::Granted) => Ok(ClaimGuard { run: self, traffic, nonce, attempt }),
             Ok(Outcome::Taken) => Err(Refusal::may_have_run(RefusalReason::AlreadyClaimed)),
             Ok(Outcome::Expired) => Err(Refusal::may_have_run(RefusalReason::KeyExpired)),
             Err(ClaimError::Unavailable) => {
-                Err(Refusal::not_run(RefusalReason::ClaimUnavailable, Some(CLAIM_RETRY_MS)))
+                Err(Refusal::not_run(RefusalReason::ClaimUnavailable, Some(CLAIM_RETRY_AFTER_MS)))
             }
         }
     }
 
     /// A connection to a replica, waiting for a free one while there is time.
-    async fn permit(&self, traffic: &Traffic, not: Option<u64>) -> Result<Permit, Refusal> {
-        let none = || Refusal::not_run(RefusalReason::NoReplica, Some(REPLICA_RETRY_MS));
-        let latest = self.deadline.checked_sub(KEPT_FOR_WORK).unwrap_or(self.deadline);
+    async fn acquire_permit(
+        &self,
+        traffic: &TrafficThread,
+        excluded: Option<u64>,
+    ) -> Result<Permit, Refusal> {
+        let no_replica =
+            || Refusal::not_run(RefusalReason::NoReplica, Some(REPLICA_RETRY_AFTER_MS));
+        let give_up_at = self.deadline.checked_sub(MIN_EXECUTION_TIME).unwrap_or(self.deadline);
         loop {
-            let freed = traffic.freed.notified();
-            if let Some(permit) = self.pick(traffic, not) {
+            let connection_freed = traffic.connection_freed.notified();
+            if let Some(permit) = self.try_acquire(traffic, excluded) {
                 return Ok(permit);
             }
-            if !self.has_open_replica(traffic, not) {
-                return Err(none());
+            if !self.has_usable_replica(traffic, excluded) {
+                return Err(no_replica());
             }
-            let waited = tokio::time::timeout_at(latest.into(), async {
+            let waited = tokio::time::timeout_at(give_up_at.into(), async {
                 tokio::select! {
-                    () = freed => {}
-                    () = tokio::time::sleep(LOOK_EVERY) => {}
+                    () = connection_freed => {}
+                    () = tokio::time::sleep(CONNECTION_POLL_INTERVAL) => {}
                 }
             });
-            waited.await.map_err(|_| none())?;
+            waited.await.map_err(|_| no_replica())?;
         }
     }
 
-    fn pick(&self, traffic: &Traffic, not: Option<u64>) -> Option<Permit> {
-        let shard = self.shard()?;
+    fn try_acquire(&self, traffic: &TrafficThread, excluded: Option<u64>) -> Option<Permit> {
+        let shard = self.target_shard()?;
         let now_ms = traffic.shared.now_ms();
         let replicas = self.service.shards.get(shard as usize)?;
-        let is_any_up = replicas.iter().any(|r| !r.is_down() && Some(r.spec.id) != not);
+        let is_any_up = replicas.iter().any(|r| !r.is_down() && Some(r.spec.id) != excluded);
         let candidates: Vec<Candidate> = replicas
             .iter()
             .enumerate()
-            .filter(|(_, r)| r.is_free(Lane::Run) && traffic.is_open(r))
-            .filter(|(_, r)| Some(r.spec.id) != not && (!is_any_up || !r.is_down()))
+            .filter(|(_, r)| r.is_free(ConnectionKind::Run) && traffic.accepts_work(r))
+            .filter(|(_, r)| Some(r.spec.id) != excluded && (!is_any_up || !r.is_down()))
             .map(|(index, r)| {
                 let cost_us = r.load.borrow().cost_us(self.service.spec.slots, now_ms);
                 Candidate { index, cost_us, is_near: r.is_near }
@@ -197,30 +205,32 @@
             .collect();
         let choice = traffic.shared.settings.policy.choice;
         let index = replica::pick(&candidates, choice, rand::random())?;
-        replicas.get(index)?.take(Lane::Run)
+        replicas.get(index)?.acquire(ConnectionKind::Run)
     }
 
-    fn has_open_replica(&self, traffic: &Traffic, not: Option<u64>) -> bool {
-        let replicas = self.shard().and_then(|shard| self.service.shards.get(shard as usize));
-        replicas
-            .into_iter()
-            .flatten()
-            .any(|r| r.limit(Lane::Run) > 0 && traffic.is_open(r) && Some(r.spec.id) != not)
+    fn has_usable_replica(&self, traffic: &TrafficThread, excluded: Option<u64>) -> bool {
+        let replicas =
+            self.target_shard().and_then(|shard| self.service.shards.get(shard as usize));
+        replicas.into_iter().flatten().any(|r| {
+            r.limit(ConnectionKind::Run) > 0
+                && traffic.accepts_work(r)
+                && Some(r.spec.id) != excluded
+        })
     }
 
     /// The shard that the caller chose, or one by the key.
-    fn shard(&self) -> Option<ShardId> {
+    fn target_shard(&self) -> Option<ShardId> {
         let chosen = self.call.call.shards.as_ref().and_then(|s| s.first().copied());
         let count = self.service.shards.len() as u128;
         chosen.or_else(|| ShardId::try_from(self.call.key.0.checked_rem(count)?).ok())
     }
 
-    async fn send(&self, traffic: &Traffic, permit: Permit) -> Landed {
+    async fn send(&self, traffic: &TrafficThread, permit: Permit) -> CompletedExchange {
         let request = PartRequest {
             addr: permit.replica().spec.addr,
             kind: Kind::Run { key: self.call.key_text.clone() },
             service: Rc::clone(&self.service.name),
-            shard: self.shard().unwrap_or_default(),
+            shard: self.target_shard().unwrap_or_default(),
             version: None,
             time_left: self.deadline.saturating_duration_since(Instant::now()),
             id: self.request_id.to_string(),
@@ -230,15 +240,16 @@
         let exchanger = traffic.exchanger();
         let exchange = exchanger.exchange(request);
         let started_ms = traffic.shared.now_ms();
-        Flight::new(exchange, permit, self.request_id.to_string(), exchanger, started_ms).await
+        PendingExchange::new(exchange, permit, self.request_id.to_string(), exchanger, started_ms)
+            .await
     }
 }
 
 /// The refusal after a failed exchange; a claim that surely did not run is released.
-fn refuse(claim: &mut Claim<'_>, failure: &PartFailure) -> Refusal {
+fn refusal_for(claim: &mut ClaimGuard<'_>, failure: &PartFailure) -> Refusal {
     if failure.verdict() == Verdict::NotRun {
         claim.attempt = claim.attempt.not_sent();
-        return Refusal::not_run(RefusalReason::Overloaded, Some(REPLICA_RETRY_MS));
+        return Refusal::not_run(RefusalReason::Overloaded, Some(REPLICA_RETRY_AFTER_MS));
     }
     match failure {
         PartFailure::Status(status) => {
--- a/crates/eelgrasspier/src/service.rs
+++ b/crates/eelgrasspier/src/service.rs
@@ -14,14 +14,14 @@
 use eelgrasspier_decide::snapshot::{Catalogue, Held};
 use tokio::sync::oneshot;
 
-use crate::replica::{Lane, Replica};
+use crate::replica::{ConnectionKind, Replica};
 
 /// Hedges that may be saved up.
-const HEDGE_BURST: u32 = 20;
+const MAX_SAVED_HEDGES: u32 = 20;
 /// Retries in percent of ordinary parts.
 const RETRY_PERCENT: u32 = 10;
 /// Retries that may be saved up.
-const RETRY_BURST: u32 = 50;
+const MAX_SAVED_RETRIES: u32 = 50;
 
 /// One service.
 #[derive(Debug)]
@@ -32,8 +32,8 @@
     pub(crate) latency: RefCell<Quantile>,
     pub(crate) hedges: RefCell<Budget>,
     pub(crate) retries: RefCell<Budget>,
-    gate: RefCell<Gate>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Result<(), Refusal>>>>,
+    admission: RefCell<Gate>,
+    waiters: RefCell<HashMap<Ticket, oneshot::Sender<Result<(), Refusal>>>>,
     catalogue: RefCell<Rc<Catalogue>>,
     catalogue_epoch: Cell<u64>,
 }
@@ -44,10 +44,10 @@
             name: spec.name.as_str().into(),
             shards,
             latency: RefCell::default(),
-            hedges: RefCell::new(Budget::new(spec.hedge_percent, HEDGE_BURST)),
-            retries: RefCell::new(Budget::new(RETRY_PERCENT, RETRY_BURST)),
-            gate: RefCell::new(Gate::new(1)),
-            waiting: RefCell::default(),
+            hedges: RefCell::new(Budget::new(spec.hedge_percent, MAX_SAVED_HEDGES)),
+            retries: RefCell::new(Budget::new(RETRY_PERCENT, MAX_SAVED_RETRIES)),
+            admission: RefCell::new(Gate::new(1)),
+            waiters: RefCell::default(),
             catalogue: RefCell::default(),
             catalogue_epoch: Cell::new(u64::MAX),
             spec: Arc::clone(spec),
@@ -55,17 +55,18 @@
     }
 
     /// Bounds the requests in progress by the connections of the poorest shard.
-    pub(crate) fn fit_gate(&self) {
-        let shard_limit =
-            |shard: &Vec<Rc<Replica>>| -> u32 { shard.iter().map(|r| r.limit(Lane::Query)).sum() };
-        let most = self.shards.iter().map(shard_limit).filter(|&limit| limit > 0).min();
-        self.gate.borrow_mut().set_most(most.unwrap_or(1));
+    pub(crate) fn update_admission_limit(&self) {
+        let shard_limit = |shard: &Vec<Rc<Replica>>| -> u32 {
+            shard.iter().map(|r| r.limit(ConnectionKind::Query)).sum()
+        };
+        let limit = self.shards.iter().map(shard_limit).filter(|&limit| limit > 0).min();
+        self.admission.borrow_mut().set_most(limit.unwrap_or(1));
     }
 
     /// Shows the connections that are allowed and those in use.
     pub(crate) fn set_gauges(&self) {
         let replicas = || self.shards.iter().flatten();
-        let lanes = [Lane::Query, Lane::Run];
+        let lanes = [ConnectionKind::Query, ConnectionKind::Run];
         let allowed: u32 = replicas().map(|r| lanes.map(|l| r.limit(l)).iter().sum::<u32>()).sum();
         let used: u32 = replicas().map(|r| lanes.map(|l| r.used(l)).iter().sum::<u32>()).sum();
         let service = self.spec.name.clone();
@@ -77,16 +78,16 @@
     /// What the open replicas hold; computed anew when `epoch` has moved.
     pub(crate) fn catalogue(&self, epoch: u64, leaving: &Leaving) -> Rc<Catalogue> {
         if self.catalogue_epoch.replace(epoch) != epoch {
-            *self.catalogue.borrow_mut() = Rc::new(self.read_catalogue(leaving));
+            *self.catalogue.borrow_mut() = Rc::new(self.build_catalogue(leaving));
         }
         Rc::clone(&self.catalogue.borrow())
     }
 
-    fn read_catalogue(&self, leaving: &Leaving) -> Catalogue {
+    fn build_catalogue(&self, leaving: &Leaving) -> Catalogue {
         let mut catalogue = Catalogue::default();
         let mut all: Vec<Held> = Vec::new();
-        for (number, replicas) in self.numbered() {
-            for replica in replicas.iter().filter(|r| !r.is_down() && r.is_open(leaving)) {
+        for (number, replicas) in self.numbered_shards() {
+            for replica in replicas.iter().filter(|r| !r.is_down() && r.accepts_work(leaving)) {
                 let held = replica.held();
                 catalogue.add(number, &held);
                 all.extend(held);
@@ -95,30 +96,30 @@
         all.sort_unstable();
         all.dedup();
         // What replicas in other instances' slices hold is found out by asking.
-        for (number, replicas) in self.numbered() {
-            if !is_in_slice(replicas) {
+        for (number, replicas) in self.numbered_shards() {
+            if !has_connections(replicas) {
                 catalogue.add(number, &all);
             }
         }
         catalogue
     }
 
-    fn numbered(&self) -> impl Iterator<Item = (ShardId, &Vec<Rc<Replica>>)> {
+    fn numbered_shards(&self) -> impl Iterator<Item = (ShardId, &Vec<Rc<Replica>>)> {
         self.shards.iter().enumerate().map(|(i, r)| (ShardId::try_from(i).unwrap_or(0), r))
     }
 
     /// Enters the gate, at once or after a wait that leaves time for the work.
-    pub(crate) async fn enter(
+    pub(crate) async fn admit(
         self: &Rc<Self>,
         team: &str,
         weight: u32,
         deadline: Instant,
         clock: fn() -> u64,
-    ) -> Result<Entered, Refusal> {
+    ) -> Result<AdmissionGuard, Refusal> {
         let left = deadline.saturating_duration_since(Instant::now());
         let deadline_ms = clock() + u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-        let decision = self.gate.borrow_mut().offer(team, weight, deadline_ms, clock());
-        let entered = |service: &Rc<Self>| Entered {
+        let decision = self.admission.borrow_mut().offer(team, weight, deadline_ms, clock());
+        let admitted = |service: &Rc<Self>| AdmissionGuard {
             service: Rc::clone(service),
             team: team.to_owned(),
             started: Instant::now(),
@@ -127,72 +128,74 @@
             clock,
         };
         match decision {
-            Decision::Run => Ok(entered(self)),
+            Decision::Run => Ok(admitted(self)),
             Decision::Refuse(refusal) => Err(refusal),
             Decision::Wait { ticket, until_ms } => {
                 let pause = Duration::from_millis(until_ms.saturating_sub(clock()));
                 self.wait(ticket, Instant::now() + pause).await?;
-                Ok(entered(self))
+                Ok(admitted(self))
             }
         }
     }
 
     async fn wait(self: &Rc<Self>, ticket: Ticket, until: Instant) -> Result<(), Refusal> {
-        let (done, resolved) = oneshot::channel();
-        self.waiting.borrow_mut().insert(ticket, done);
-        let guard = Waiting { service: Rc::clone(self), ticket };
+        let (reply, resolved) = oneshot::channel();
+        self.waiters.borrow_mut().insert(ticket, reply);
+        let guard = WaitGuard { service: Rc::clone(self), ticket };
         let waited = tokio::time::timeout_at(until.into(), resolved).await;
         drop(guard);
         match waited {
             Ok(Ok(result)) => result,
-            _ => Err(Refusal::not_run(RefusalReason::Overloaded, Some(LEAST_RETRY_AFTER_MS))),
+            _ => {
+                Err(Refusal::not_run(RefusalReason::Overloaded, Some(QUEUE_TIMEOUT_RETRY_AFTER_MS)))
+            }
         }
     }
 
     /// Refuses waiting requests whose time no longer suffices.
-    pub(crate) fn expire(&self, now_ms: u64) {
-        let resolved = self.gate.borrow_mut().expire(now_ms);
+    pub(crate) fn expire_waiters(&self, now_ms: u64) {
+        let resolved = self.admission.borrow_mut().expire(now_ms);
         self.resolve(resolved);
     }
 
     fn resolve(&self, resolved: Vec<Resolved>) {
-        for one in resolved {
-            let (ticket, result) = match one {
+        for entry in resolved {
+            let (ticket, result) = match entry {
                 Resolved::Start(ticket) => (ticket, Ok(())),
                 Resolved::Refuse(ticket, refusal) => (ticket, Err(refusal)),
             };
-            if let Some(done) = self.waiting.borrow_mut().remove(&ticket) {
-                drop(done.send(result));
+            if let Some(reply) = self.waiters.borrow_mut().remove(&ticket) {
+                drop(reply.send(result));
             }
         }
     }
 }
 
 /// When a request that ran out of time while waiting should come back.
-const LEAST_RETRY_AFTER_MS: u64 = 100;
+const QUEUE_TIMEOUT_RETRY_AFTER_MS: u64 = 100;
 
 /// Whether this instance holds connections to any replica of a shard.
-pub(crate) fn is_in_slice(replicas: &[Rc<Replica>]) -> bool {
-    replicas.iter().any(|r| r.limit(Lane::Query) > 0)
+pub(crate) fn has_connections(replicas: &[Rc<Replica>]) -> bool {
+    replicas.iter().any(|r| r.limit(ConnectionKind::Query) > 0)
 }
 
 /// A waiting request; dropped early it leaves the queue.
-struct Waiting {
+struct WaitGuard {
     service: Rc<ServiceState>,
     ticket: Ticket,
 }
 
-impl Drop for Waiting {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
-        if self.service.waiting.borrow_mut().remove(&self.ticket).is_some() {
-            self.service.gate.borrow_mut().cancel(self.ticket);
+        if self.service.waiters.borrow_mut().remove(&self.ticket).is_some() {
+            self.service.admission.borrow_mut().cancel(self.ticket);
         }
     }
 }
 
 /// A request inside the gate; dropping it lets the next one in.
 #[derive(Debug)]
-pub(crate) struct Entered {
+pub(crate) struct AdmissionGuard {
     service: Rc<ServiceState>,
     team: String,
     started: Instant,
@@ -201,14 +204,14 @@
     clock: fn() -> u64,
 }
 
-impl Entered {
+impl AdmissionGuard {
     /// Says how the request has ended.
-    pub(crate) fn end(&self, ending: Ending) {
+    pub(crate) fn set_ending(&self, ending: Ending) {
         self.ending.set(ending);
     }
 }
 
-impl Drop for Entered {
+impl Drop for AdmissionGuard {
     fn drop(&mut self) {
         let ended = Ended {
             ending: self.ending.get(),
@@ -217,8 +220,8 @@
         };
         let now_ms = (self.clock)();
         let resolved = {
-            let mut gate = self.service.gate.borrow_mut();
-            gate.finish(&self.team, ended, now_ms)
+            let mut admission = self.service.admission.borrow_mut();
+            admission.finish(&self.team, ended, now_ms)
         };
         self.service.resolve(resolved);
     }
--- a/crates/eelgrasspier/src/settings.rs
+++ b/crates/eelgrasspier/src/settings.rs
@@ -96,7 +96,7 @@
 const POLICY: &str = "policy";
 
 /// Every setting, so that a misspelt one is noticed.
-const KNOWN: [(&str, &str); 13] = [
+const KNOWN_SETTINGS: [(&str, &str); 13] = [
     (INSTANCE, "name"),
     (INSTANCE, "zone"),
     (INSTANCE, "http"),
@@ -132,7 +132,7 @@
             path: "settings".to_owned(),
             reason: e.to_string(),
         })?;
-        check_keys(&ini)?;
+        check_known_keys(&ini)?;
         let name: String = required(&ini, INSTANCE, "name")?;
         let zone: String = required(&ini, INSTANCE, "zone")?;
         for (key, value) in [("name", &name), ("zone", &zone)] {
@@ -175,11 +175,11 @@
     Ok(Policy { choice, hedge_per_mille })
 }
 
-fn check_keys(ini: &Ini) -> Result<(), SettingsError> {
+fn check_known_keys(ini: &Ini) -> Result<(), SettingsError> {
     for (section, properties) in ini {
         let section = section.unwrap_or_default();
         for (key, _) in properties {
-            if !KNOWN.contains(&(section, key)) {
+            if !KNOWN_SETTINGS.contains(&(section, key)) {
                 let (section, key) = (section.to_owned(), key.to_owned());
                 return Err(SettingsError::Unknown { section, key });
             }
--- a/crates/eelgrasspier/src/shared.rs
+++ b/crates/eelgrasspier/src/shared.rs
@@ -14,46 +14,46 @@
 use eelgrasspier_store::ClaimError;
 use tokio::sync::{mpsc, oneshot};
 
+use crate::quarantine::QuarantineState;
 use crate::settings::Settings;
-use crate::suspects::Suspects;
 use crate::timeline::Timeline;
 use crate::view::View;
 
 /// What traffic threads ask of the control thread.
 #[derive(Debug)]
-pub(crate) enum Ask {
+pub(crate) enum ControlRequest {
     /// Claim an idempotency key.
     Claim {
         key: Key,
         nonce: Nonce,
         until: Instant,
-        done: oneshot::Sender<Result<Outcome, ClaimError>>,
+        reply: oneshot::Sender<Result<Outcome, ClaimError>>,
     },
     /// Give back the claim of an attempt that surely never sent anything.
     Release { key: Key, nonce: Nonce },
     /// A backend server says that it is leaving.
-    Leaving(Server),
+    ServerLeaving(Server),
     /// Submit an edit of the operators' text.
-    Submit { submitted: Submitted, done: oneshot::Sender<SubmitAnswer> },
+    Submit { submitted: Submitted, reply: oneshot::Sender<SubmitAnswer> },
     /// Show the text in force.
-    Text { done: oneshot::Sender<Option<ShownText>> },
+    Text { reply: oneshot::Sender<Option<ShownText>> },
     /// Status of all instances.
-    Status { done: oneshot::Sender<Vec<InstanceStatus>> },
+    Status { reply: oneshot::Sender<Vec<InstanceStatus>> },
     /// Events of all instances.
-    Timeline { about: String, from_stamp: u64, done: oneshot::Sender<Vec<TimelineEntry>> },
+    Timeline { about: String, from_stamp: u64, reply: oneshot::Sender<Vec<TimelineEntry>> },
     /// Something was found out of a request that ends backend servers.
-    Tell(Report),
+    SendReport(Report),
     /// A planned stop begins.
-    Stop,
+    BeginStop,
     /// Connections are let go: tell the others and end.
-    Left { done: oneshot::Sender<()> },
+    AnnounceLeft { reply: oneshot::Sender<()> },
 }
 
 /// Parts that another instance asks for.
 #[derive(Debug)]
-pub(crate) struct PartsAsk {
+pub(crate) struct PartsRequest {
     pub(crate) parts: Parts,
-    pub(crate) done: oneshot::Sender<PartsDone>,
+    pub(crate) reply: oneshot::Sender<PartsDone>,
 }
 
 /// What the threads of one process share.
@@ -64,15 +64,15 @@
     pub(crate) started: Instant,
     pub(crate) view: ArcSwap<View>,
     pub(crate) timeline: Timeline,
-    pub(crate) control: mpsc::UnboundedSender<Ask>,
+    pub(crate) control: mpsc::UnboundedSender<ControlRequest>,
     /// Traffic threads that know a snapshot of every service.
     pub(crate) warm_threads: AtomicUsize,
     /// Snapshot in use of each service.
     pub(crate) snapshots: Mutex<BTreeMap<String, u64>>,
     /// Traffic threads that gather parts for other instances.
-    pub(crate) gatherers: Mutex<Vec<mpsc::UnboundedSender<PartsAsk>>>,
+    pub(crate) parts_senders: Mutex<Vec<mpsc::UnboundedSender<PartsRequest>>>,
     /// Requests that end backend servers.
-    pub(crate) suspects: Suspects,
+    pub(crate) quarantine: QuarantineState,
 }
 
 impl Shared {
@@ -88,14 +88,17 @@
     }
 
     /// Asks the control thread and waits; `None` if it is gone.
-    pub(crate) async fn ask<T>(&self, make: impl FnOnce(oneshot::Sender<T>) -> Ask) -> Option<T> {
-        let (done, answer) = oneshot::channel();
-        self.control.send(make(done)).ok()?;
+    pub(crate) async fn call_control<T>(
+        &self,
+        build: impl FnOnce(oneshot::Sender<T>) -> ControlRequest,
+    ) -> Option<T> {
+        let (reply, answer) = oneshot::channel();
+        self.control.send(build(reply)).ok()?;
         answer.await.ok()
     }
 
     /// Notes the snapshot that a service is answered from; returns whether it is new.
-    pub(crate) fn note_snapshot(&self, service: &str, version: u64) -> bool {
+    pub(crate) fn record_snapshot(&self, service: &str, version: u64) -> bool {
         let mut snapshots = self.snapshots.lock().unwrap_or_else(PoisonError::into_inner);
         if snapshots.get(service) == Some(&version) {
             return false;
@@ -105,10 +108,13 @@
     }
 
     /// The traffic thread that gathers parts for another instance.
-    pub(crate) fn gatherer(&self, number: u64) -> Option<mpsc::UnboundedSender<PartsAsk>> {
-        let gatherers = self.gatherers.lock().unwrap_or_else(PoisonError::into_inner);
-        let count = gatherers.len().max(1) as u64;
-        gatherers.get(usize::try_from(number % count).unwrap_or(0)).cloned()
+    pub(crate) fn parts_sender(
+        &self,
+        selector: u64,
+    ) -> Option<mpsc::UnboundedSender<PartsRequest>> {
+        let parts_senders = self.parts_senders.lock().unwrap_or_else(PoisonError::into_inner);
+        let count = parts_senders.len().max(1) as u64;
+        parts_senders.get(usize::try_from(selector % count).unwrap_or(0)).cloned()
     }
 }
 
--- a/crates/eelgrasspier/src/timeline.rs
+++ b/crates/eelgrasspier/src/timeline.rs
@@ -10,10 +10,10 @@
 use crate::event::Event;
 
 /// Events that are kept; at about 200 bytes each they take under a megabyte.
-const KEPT: usize = 4096;
+const MAX_ENTRIES: usize = 4096;
 
 /// Events of kinds that may come in floods that are kept for each second.
-const MOST_IN_FLOODS_PER_S: u32 = 10;
+const MAX_RATE_LIMITED_PER_S: u32 = 10;
 
 /// Recorder of the events of one process.
 #[derive(Debug)]
@@ -22,14 +22,19 @@
     clock: Clock,
     entries: Mutex<VecDeque<TimelineEntry>>,
     /// The present second, and the events that came in floods in it.
-    some: Mutex<(u64, u32)>,
+    rate_limit: Mutex<(u64, u32)>,
 }
 
 impl Timeline {
     /// An empty time line of the process `id`.
     #[must_use]
     pub fn new(id: InstanceId) -> Self {
-        Self { id, clock: Clock::default(), entries: Mutex::default(), some: Mutex::default() }
+        Self {
+            id,
+            clock: Clock::default(),
+            entries: Mutex::default(),
+            rate_limit: Mutex::default(),
+        }
     }
 
     /// The clock that stamps the events.
@@ -51,7 +56,7 @@
             detail: detail.to_owned(),
         };
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
-        if entries.len() >= KEPT {
+        if entries.len() >= MAX_ENTRIES {
             entries.pop_front();
         }
         entries.push_back(entry);
@@ -61,17 +66,17 @@
     ///
     /// A flood of refusals would push everything else out of the bounded memory,
     /// just when somebody will want to read it. The metrics count them all.
-    pub fn record_some(&self, event: Event, about: &str, detail: &str) {
+    pub fn record_rate_limited(&self, event: Event, about: &str, detail: &str) {
         let second = epoch_ms() / 1000;
         let count = {
-            let mut some = self.some.lock().unwrap_or_else(PoisonError::into_inner);
-            if some.0 != second {
-                *some = (second, 0);
+            let mut rate_limit = self.rate_limit.lock().unwrap_or_else(PoisonError::into_inner);
+            if rate_limit.0 != second {
+                *rate_limit = (second, 0);
             }
-            some.1 += 1;
-            some.1
+            rate_limit.1 += 1;
+            rate_limit.1
         };
-        if count <= MOST_IN_FLOODS_PER_S {
+        if count <= MAX_RATE_LIMITED_PER_S {
             self.record(event, about, detail);
         }
     }
--- a/crates/eelgrasspier/src/traffic.rs
+++ b/crates/eelgrasspier/src/traffic.rs
@@ -16,11 +16,11 @@
 use tokio::sync::{Notify, mpsc};
 
 use crate::event;
-use crate::flight::Landed;
-use crate::replica::{Lane, Learnt, Replica};
+use crate::exchange::CompletedExchange;
+use crate::forward;
+use crate::replica::{ConnectionKind, Replica, ReportChange};
 use crate::service::ServiceState;
-use crate::shared::{Ask, SharedRef};
-use crate::slices;
+use crate::shared::{ControlRequest, SharedRef};
 use crate::view::View;
 
 /// Time in which a connection to a backend server must be set up.
@@ -28,66 +28,66 @@
 /// Time in which a probe must be answered.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time between two rounds of upkeep.
-const UPKEEP: Duration = Duration::from_millis(250);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 /// Rounds of upkeep for which missing snapshots hold up readiness.
-const MOST_WARMING_ROUNDS: u32 = 12;
+const MAX_WARMUP_ROUNDS: u32 = 12;
 /// Silence of a replica in milliseconds after which it is probed.
-const QUIET_MS: u64 = 1_500;
+const PROBE_AFTER_SILENCE_MS: u64 = 1_500;
 
 /// The state of one traffic thread.
-pub(crate) struct Traffic {
+pub(crate) struct TrafficThread {
     pub(crate) shared: SharedRef,
     pub(crate) links: Links,
     pub(crate) view: RefCell<Arc<View>>,
     /// Wakes parts that wait for a free connection.
-    pub(crate) freed: Rc<Notify>,
-    number: u32,
+    pub(crate) connection_freed: Rc<Notify>,
+    thread_index: u32,
     exchanger: RefCell<Rc<dyn Exchanger>>,
     replicas: RefCell<HashMap<u64, Rc<Replica>>>,
     services: RefCell<HashMap<String, Rc<ServiceState>>>,
     /// Upkeep rounds since there is a text, until every service has a snapshot.
-    warming: Cell<Option<u32>>,
+    warmup_rounds: Cell<Option<u32>>,
     /// Moves whenever a snapshot may have to be chosen anew.
-    epoch: Cell<u64>,
+    snapshot_epoch: Cell<u64>,
 }
 
-impl std::fmt::Debug for Traffic {
+impl std::fmt::Debug for TrafficThread {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Traffic").field("number", &self.number).finish_non_exhaustive()
+        f.debug_struct("Traffic").field("number", &self.thread_index).finish_non_exhaustive()
     }
 }
 
-impl Traffic {
+impl TrafficThread {
     /// Starts a traffic thread's state on the thread that calls it.
     pub(crate) fn start(shared: SharedRef) -> Rc<Self> {
-        let (gatherer, asked) = mpsc::unbounded_channel();
-        let number = {
+        let (parts_sender, parts_requests) = mpsc::unbounded_channel();
+        let thread_index = {
             let mut all =
-                shared.gatherers.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-            all.push(gatherer);
+                shared.parts_senders.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+            all.push(parts_sender);
             u32::try_from(all.len() - 1).unwrap_or(0)
         };
-        let stamps = Arc::clone(&shared);
+        let clock_owner = Arc::clone(&shared);
         let traffic = Rc::new(Self {
-            links: Links::new(Rc::new(move || stamps.timeline.clock().stamp())),
+            links: Links::new(Rc::new(move || clock_owner.timeline.clock().stamp())),
             shared,
             view: RefCell::default(),
-            freed: Rc::default(),
-            number,
+            connection_freed: Rc::default(),
+            thread_index,
             exchanger: RefCell::new(Rc::new(HttpExchanger::new(CONNECT_TIMEOUT))),
             replicas: RefCell::default(),
             services: RefCell::default(),
-            warming: Cell::new(Some(0)),
-            epoch: Cell::new(0),
+            warmup_rounds: Cell::new(Some(0)),
+            snapshot_epoch: Cell::new(0),
         });
-        actix_rt::spawn(Rc::clone(&traffic).upkeep());
-        actix_rt::spawn(slices::serve(Rc::clone(&traffic), asked));
+        actix_rt::spawn(Rc::clone(&traffic).run_maintenance());
+        actix_rt::spawn(forward::serve_peers(Rc::clone(&traffic), parts_requests));
         traffic
     }
 
     /// The service of that name in the latest view.
     pub(crate) fn service(self: &Rc<Self>, name: &str) -> Option<Rc<ServiceState>> {
-        self.sync();
+        self.refresh_view();
         self.services.borrow().get(name).cloned()
     }
 
@@ -99,8 +99,8 @@
     pub(crate) fn choose_snapshot(&self, service: &ServiceState) -> Option<Snapshot> {
         let view = self.view.borrow();
         let services = self.services.borrow();
-        let epoch = self.epoch.get();
-        let needed: Vec<_> = view
+        let epoch = self.snapshot_epoch.get();
+        let dependencies: Vec<_> = view
             .services
             .with_dependencies(&service.spec.name)
             .into_iter()
@@ -108,84 +108,89 @@
             .filter_map(|s| services.get(&s.name))
             .map(|s| s.catalogue(epoch, &view.leaving))
             .collect();
-        let needed: Vec<_> = needed.iter().map(Rc::as_ref).collect();
-        service.catalogue(epoch, &view.leaving).choose(&needed)
+        let dependencies: Vec<_> = dependencies.iter().map(Rc::as_ref).collect();
+        service.catalogue(epoch, &view.leaving).choose(&dependencies)
     }
 
     /// The snapshot at a version that the caller asks for.
     pub(crate) fn snapshot_at(&self, service: &ServiceState, version: u64) -> Option<Snapshot> {
         let view = self.view.borrow();
-        service.catalogue(self.epoch.get(), &view.leaving).at(version)
+        service.catalogue(self.snapshot_epoch.get(), &view.leaving).at(version)
     }
 
     /// Takes in the end of an exchange.
-    pub(crate) fn landed(&self, service: &ServiceState, landed: &Landed) {
+    pub(crate) fn on_exchange_completed(
+        &self,
+        service: &ServiceState,
+        completed: &CompletedExchange,
+    ) {
         let now_ms = self.shared.now_ms();
-        let replica = &landed.replica;
-        match &landed.result {
+        let replica = &completed.replica;
+        match &completed.result {
             Ok(answer) => {
-                let took_us = u64::try_from(landed.took.as_micros()).unwrap_or(u64::MAX);
+                let took_us = u64::try_from(completed.took.as_micros()).unwrap_or(u64::MAX);
                 service.latency.borrow_mut().record(took_us);
                 replica.load.borrow_mut().answered(took_us, answer.report.load, now_ms);
-                self.learn(replica, &answer.report);
+                self.apply_report(replica, &answer.report);
             }
             Err(PartFailure::Shed(report) | PartFailure::WrongVersion(report)) => {
-                self.learn(replica, report);
+                self.apply_report(replica, report);
                 replica.load.borrow_mut().failed(now_ms);
             }
             // Time ran out: that may say more about the deadline than the replica.
             // Whether it is down, the probes find out.
             Err(PartFailure::TimedOut) => {
-                let took_us = u64::try_from(landed.took.as_micros()).unwrap_or(u64::MAX);
+                let took_us = u64::try_from(completed.took.as_micros()).unwrap_or(u64::MAX);
                 replica.load.borrow_mut().outrun(took_us, now_ms);
             }
-            Err(failure) => self.failed(replica, failure),
+            Err(failure) => self.record_failure(replica, failure),
         }
     }
 
-    fn learn(&self, replica: &Replica, report: &Report) {
-        let Learnt { is_change, leaving, is_back } = replica.heard(report, self.shared.now_ms());
-        if is_change {
-            self.epoch.set(self.epoch.get() + 1);
+    fn apply_report(&self, replica: &Replica, report: &Report) {
+        let ReportChange { is_changed, leaving, is_recovered } =
+            replica.apply_report(report, self.shared.now_ms());
+        if is_changed {
+            self.snapshot_epoch.set(self.snapshot_epoch.get() + 1);
         }
-        if is_back {
+        if is_recovered {
             self.shared.timeline.record(event::SERVER_UP, &replica.spec.addr.to_string(), "");
         }
         if let Some(server) = leaving {
-            drop(self.shared.control.send(Ask::Leaving(server)));
+            drop(self.shared.control.send(ControlRequest::ServerLeaving(server)));
         }
     }
 
-    fn failed(&self, replica: &Replica, failure: &PartFailure) {
-        if replica.not_heard(self.shared.now_ms()) {
-            self.epoch.set(self.epoch.get() + 1);
+    fn record_failure(&self, replica: &Replica, failure: &PartFailure) {
+        if replica.record_failure(self.shared.now_ms()) {
+            self.snapshot_epoch.set(self.snapshot_epoch.get() + 1);
             let about = replica.spec.addr.to_string();
             self.shared.timeline.record(event::SERVER_DOWN, &about, &failure.to_string());
         }
     }
 
     /// Takes in the latest view, if it is new.
-    fn sync(self: &Rc<Self>) {
+    fn refresh_view(self: &Rc<Self>) {
         let latest = self.shared.view.load_full();
         if latest.serial == self.view.borrow().serial {
             return;
         }
         let has_new_text = latest.version != self.view.borrow().version;
         if has_new_text {
-            self.rebuild(&latest);
+            self.rebuild_services(&latest);
         }
         let has_shrunk = self.set_limits(&latest);
         *self.view.borrow_mut() = latest;
-        self.epoch.set(self.epoch.get() + 1);
+        self.snapshot_epoch.set(self.snapshot_epoch.get() + 1);
         if has_shrunk {
             // Idle connections beyond the share close with the old pool, so that
             // another instance can grow into them.
             *self.exchanger.borrow_mut() = Rc::new(HttpExchanger::new(CONNECT_TIMEOUT));
         }
-        self.warm(has_shrunk);
+        self.open_connections(has_shrunk);
     }
 
-    fn rebuild(&self, view: &View) {
+    fn rebuild_services(&self, view: &View) {
         let mut replicas = HashMap::new();
         let mut services = HashMap::new();
         for (name, spec) in &view.services.by_name {
@@ -204,19 +209,19 @@
     }
 
     fn new_service(&self, spec: &Arc<Service>) -> ServiceState {
-        let shards = spec
-            .shards
-            .iter()
-            .map(|shard| shard.iter().map(|replica| self.replica(replica)).collect());
+        let shards = spec.shards.iter().map(|shard| {
+            shard.iter().map(|replica| self.reuse_or_create_replica(replica)).collect()
+        });
         ServiceState::new(spec, shards.collect())
     }
 
     /// The replica as known, so that a new text forgets nothing that still holds.
-    fn replica(&self, spec: &ReplicaSpec) -> Rc<Replica> {
+    fn reuse_or_create_replica(&self, spec: &ReplicaSpec) -> Rc<Replica> {
         let known = self.replicas.borrow().get(&spec.id).cloned();
         let is_near = spec.zone == self.shared.settings.zone;
-        known
-            .unwrap_or_else(|| Rc::new(Replica::new(spec.clone(), is_near, Rc::clone(&self.freed))))
+        known.unwrap_or_else(|| {
+            Rc::new(Replica::new(spec.clone(), is_near, Rc::clone(&self.connection_freed)))
+        })
     }
 
     /// Sets each replica's connections; returns whether any has fewer than before.
@@ -226,29 +231,30 @@
             let spec = &service.spec;
             for replica in service.shards.iter().flatten() {
                 let id = replica.spec.id;
-                let query = view.share(id, spec.connections - spec.run_connections);
-                let run = view.share(id, spec.run_connections);
-                has_shrunk |= replica.set_limit(Lane::Query, self.part_of(query, id));
-                has_shrunk |= replica.set_limit(Lane::Run, self.part_of(run, id));
+                let query = view.connection_share(id, spec.connections - spec.run_connections);
+                let run = view.connection_share(id, spec.run_connections);
+                has_shrunk |=
+                    replica.set_limit(ConnectionKind::Query, self.thread_share(query, id));
+                has_shrunk |= replica.set_limit(ConnectionKind::Run, self.thread_share(run, id));
             }
-            service.fit_gate();
+            service.update_admission_limit();
         }
         has_shrunk
     }
 
     /// This thread's part of the process's share; threads differ by at most one.
-    fn part_of(&self, share: u32, replica: u64) -> u32 {
+    fn thread_share(&self, share: u32, replica: u64) -> u32 {
         let threads = u32::try_from(self.shared.settings.traffic_threads).unwrap_or(1).max(1);
-        let turn = u32::try_from(replica % u64::from(threads)).unwrap_or(0);
-        let place = (self.number + turn) % threads;
-        share / threads + u32::from(place < share % threads)
+        let offset = u32::try_from(replica % u64::from(threads)).unwrap_or(0);
+        let position = (self.thread_index + offset) % threads;
+        share / threads + u32::from(position < share % threads)
     }
 
     /// Opens connections before requests need them.
-    fn warm(self: &Rc<Self>, is_pool_new: bool) {
+    fn open_connections(self: &Rc<Self>, is_pool_new: bool) {
         for replica in self.replicas.borrow().values() {
-            if is_pool_new || replica.heard_ms().is_none() {
-                for _ in 0..replica.limit(Lane::Query) {
+            if is_pool_new || replica.last_contact_ms().is_none() {
+                for _ in 0..replica.limit(ConnectionKind::Query) {
                     self.probe(replica);
                 }
             }
@@ -256,14 +262,14 @@
     }
 
     fn probe(self: &Rc<Self>, replica: &Rc<Replica>) {
-        let Some(permit) = replica.take(Lane::Query) else { return };
+        let Some(permit) = replica.acquire(ConnectionKind::Query) else { return };
         let traffic = Rc::clone(self);
         let exchange = self.exchanger().probe(replica.spec.addr, PROBE_TIMEOUT);
         actix_rt::spawn(async move {
             let result = exchange.await;
             match &result {
-                Ok(report) => traffic.learn(permit.replica(), report),
-                Err(failure) => traffic.failed(permit.replica(), failure),
+                Ok(report) => traffic.apply_report(permit.replica(), report),
+                Err(failure) => traffic.record_failure(permit.replica(), failure),
             }
         });
     }
@@ -272,45 +278,48 @@
     ///
     /// Callers sent here before would be refused for want of one. A service whose
     /// servers stay away must not hold up the others for long.
-    fn note_warm(&self) {
-        let Some(rounds) = self.warming.get() else { return };
+    fn update_warmup(&self) {
+        let Some(rounds) = self.warmup_rounds.get() else { return };
         if !self.view.borrow().is_ready() {
             return;
         }
         let services: Vec<_> = self.services.borrow().values().cloned().collect();
         let is_complete =
             |s: &Rc<ServiceState>| self.choose_snapshot(s).is_some_and(|s| s.is_complete());
-        if rounds >= MOST_WARMING_ROUNDS || services.iter().all(is_complete) {
-            self.warming.set(None);
+        if rounds >= MAX_WARMUP_ROUNDS || services.iter().all(is_complete) {
+            self.warmup_rounds.set(None);
             self.shared.warm_threads.fetch_add(1, Ordering::AcqRel);
             return;
         }
-        self.warming.set(Some(rounds + 1));
+        self.warmup_rounds.set(Some(rounds + 1));
     }
 
-    async fn upkeep(self: Rc<Self>) {
+    async fn run_maintenance(self: Rc<Self>) {
         loop {
-            self.sync();
+            self.refresh_view();
             let now_ms = self.shared.now_ms();
             let replicas: Vec<Rc<Replica>> = self.replicas.borrow().values().cloned().collect();
             for replica in replicas {
-                if replica.heard_ms().is_none_or(|heard| now_ms >= heard + QUIET_MS) {
+                if replica
+                    .last_contact_ms()
+                    .is_none_or(|heard| now_ms >= heard + PROBE_AFTER_SILENCE_MS)
+                {
                     self.probe(&replica);
                 }
             }
             for service in self.services.borrow().values() {
-                service.expire(now_ms);
+                service.expire_waiters(now_ms);
                 service.set_gauges();
             }
-            self.note_warm();
-            actix_rt::time::sleep(UPKEEP).await;
+            self.update_warmup();
+            actix_rt::time::sleep(MAINTENANCE_INTERVAL).await;
         }
     }
 
     /// Backend servers that are leaving, as control knows them.
-    pub(crate) fn is_open(&self, replica: &Replica) -> bool {
+    pub(crate) fn accepts_work(&self, replica: &Replica) -> bool {
         let view = self.view.borrow();
         let leaving: &Leaving = &view.leaving;
-        replica.is_open(leaving)
+        replica.accepts_work(leaving)
     }
 }
--- a/crates/eelgrasspier/src/view.rs
+++ b/crates/eelgrasspier/src/view.rs
@@ -29,7 +29,7 @@
     /// The services of that text.
     pub services: Arc<Services>,
     /// Key of this instance in member lists.
-    pub own: u64,
+    pub own_key: u64,
     /// Member lists that bound the share of connections.
     pub bounds: Vec<Vec<u64>>,
     /// Backend servers that are leaving.
@@ -43,8 +43,8 @@
 impl View {
     /// Connections that this process may hold to `replica`.
     #[must_use]
-    pub fn share(&self, replica: u64, limit: u32) -> u32 {
-        share::share_within(&self.bounds, self.own, replica, limit)
+    pub fn connection_share(&self, replica: u64, limit: u32) -> u32 {
+        share::share_within(&self.bounds, self.own_key, replica, limit)
     }
 
     /// Whether callers can be served.
--- a/crates/eelgrasspier/src/web.rs
+++ b/crates/eelgrasspier/src/web.rs
@@ -17,11 +17,11 @@
 use crate::query::Query;
 use crate::run::Run;
 use crate::service::ServiceState;
-use crate::shared::Ask;
-use crate::traffic::Traffic;
+use crate::shared::ControlRequest;
+use crate::traffic::TrafficThread;
 
 /// When to come back to an instance that is not ready or is stopping.
-const NOT_READY_RETRY_MS: u64 = 1_000;
+const NOT_READY_RETRY_AFTER_MS: u64 = 1_000;
 
 /// Declares every route.
 pub(crate) fn routes(config: &mut web::ServiceConfig) {
@@ -37,7 +37,7 @@
         .route("/admin/text", web::put().to(submit_text));
 }
 
-type TrafficData = Data<Rc<Traffic>>;
+type TrafficData = Data<Rc<TrafficThread>>;
 
 async fn query(
     request: HttpRequest,
@@ -46,7 +46,7 @@
     traffic: TrafficData,
 ) -> HttpResponse {
     let started = Instant::now();
-    let request_id = fresh_id();
+    let request_id = new_request_id();
     let response = match try_query(&request, &name, payload, &traffic, &request_id).await {
         Ok(answer) => {
             count_shards(&answer);
@@ -54,20 +54,20 @@
         }
         Err(refusal) => {
             let detail = refusal.reason.to_string();
-            traffic.shared.timeline.record_some(event::QUERY_REFUSED, &request_id, &detail);
-            refused(&refusal, &request_id)
+            traffic.shared.timeline.record_rate_limited(event::QUERY_REFUSED, &request_id, &detail);
+            refusal_response(&refusal, &request_id)
         }
     };
     let took_s = started.elapsed().as_secs_f64();
     metrics::histogram!("eelgrasspier_query_seconds").record(took_s);
-    finish(response, &traffic)
+    close_if_stopping(response, &traffic)
 }
 
 async fn try_query(
     request: &HttpRequest,
     name: &str,
     payload: Payload,
-    traffic: &Rc<Traffic>,
+    traffic: &Rc<TrafficThread>,
     request_id: &Rc<str>,
 ) -> Result<Answer, Refusal> {
     let started = Instant::now();
@@ -75,7 +75,7 @@
     let (service, call, body) = prepare(name, payload, traffic, check).await?;
     let deadline = started + Duration::from_millis(call.deadline_ms);
     let request_id = Rc::clone(request_id);
-    Query { service, call, request_id, body, deadline }.answer(traffic).await
+    Query { service, call, request_id, body, deadline }.execute(traffic).await
 }
 
 fn count_shards(answer: &Answer) {
@@ -90,19 +90,19 @@
     payload: Payload,
     traffic: TrafficData,
 ) -> HttpResponse {
-    let request_id = fresh_id();
+    let request_id = new_request_id();
     let response = match try_run(&request, &name, payload, &traffic, &request_id).await {
         Ok(answer) => answer.to_response(),
-        Err(refusal) => refused(&refusal, &request_id),
+        Err(refusal) => refusal_response(&refusal, &request_id),
     };
-    finish(response, &traffic)
+    close_if_stopping(response, &traffic)
 }
 
 async fn try_run(
     request: &HttpRequest,
     name: &str,
     payload: Payload,
-    traffic: &Rc<Traffic>,
+    traffic: &Rc<TrafficThread>,
     request_id: &Rc<str>,
 ) -> Result<RunAnswer, Refusal> {
     let started = Instant::now();
@@ -112,7 +112,7 @@
     let run = Run { service, call, request_id: Rc::clone(request_id), body, deadline };
     let traffic = Rc::clone(traffic);
     // A task of its own: a caller that goes away must not stop a run half way.
-    let task = actix_rt::spawn(async move { run.answer(&traffic).await });
+    let task = actix_rt::spawn(async move { run.execute(&traffic).await });
     task.await.unwrap_or_else(|_| Err(Refusal::may_have_run(RefusalReason::AnswerLost)))
 }
 
@@ -120,10 +120,10 @@
 async fn prepare<C>(
     name: &str,
     payload: Payload,
-    traffic: &Rc<Traffic>,
+    traffic: &Rc<TrafficThread>,
     check: impl FnOnce(&ServiceState) -> Result<C, CallError>,
 ) -> Result<(Rc<ServiceState>, C, Bytes), Refusal> {
-    let service = find(traffic, name)?;
+    let service = find_service(traffic, name)?;
     let call = check(&service).map_err(|error| bad_request(&error))?;
     let limit = service.spec.max_request_bytes;
     let body = payload.to_bytes_limited(limit).await;
@@ -138,11 +138,11 @@
     Ok((service, call, body))
 }
 
-fn find(traffic: &Rc<Traffic>, name: &str) -> Result<Rc<ServiceState>, Refusal> {
+fn find_service(traffic: &Rc<TrafficThread>, name: &str) -> Result<Rc<ServiceState>, Refusal> {
     let service = traffic.service(name);
     let view = traffic.view.borrow();
     if view.version.is_none() || view.bounds.is_empty() {
-        return Err(Refusal::not_run(RefusalReason::NotReady, Some(NOT_READY_RETRY_MS)));
+        return Err(Refusal::not_run(RefusalReason::NotReady, Some(NOT_READY_RETRY_AFTER_MS)));
     }
     service.ok_or_else(|| Refusal::not_run(RefusalReason::UnknownService(name.to_owned()), None))
 }
@@ -151,7 +151,7 @@
     Refusal::not_run(RefusalReason::BadRequest(error.to_string()), None)
 }
 
-fn refused(refusal: &Refusal, request_id: &str) -> HttpResponse {
+fn refusal_response(refusal: &Refusal, request_id: &str) -> HttpResponse {
     let verdict = refusal.verdict.to_string();
     metrics::counter!("eelgrasspier_refusals_total", "verdict" => verdict).increment(1);
     problem_response(refusal, request_id)
@@ -161,14 +161,14 @@
 ///
 /// A request written on an idle connection just as the server closes it would be
 /// lost to the caller, who sees an end of file in place of an answer.
-fn finish(mut response: HttpResponse, traffic: &Traffic) -> HttpResponse {
+fn close_if_stopping(mut response: HttpResponse, traffic: &TrafficThread) -> HttpResponse {
     if traffic.shared.view.load().is_stopping() {
         response.head_mut().set_connection_type(actix_web::http::ConnectionType::Close);
     }
     response
 }
 
-fn fresh_id() -> Rc<str> {
+fn new_request_id() -> Rc<str> {
     uuid::Uuid::now_v7().simple().to_string().into()
 }
 
@@ -178,7 +178,7 @@
     } else {
         HttpResponse::ServiceUnavailable().finish()
     };
-    finish(response, &traffic)
+    close_if_stopping(response, &traffic)
 }
 
 async fn metrics_text(page: Data<Page>) -> HttpResponse {
@@ -192,7 +192,7 @@
 }
 
 async fn status(traffic: TrafficData) -> HttpResponse {
-    json(traffic.shared.ask(|done| Ask::Status { done }).await)
+    json(traffic.shared.call_control(|reply| ControlRequest::Status { reply }).await)
 }
 
 #[derive(Debug, Deserialize)]
@@ -205,11 +205,16 @@
 
 async fn timeline(query: UrlQuery<TimelineQuery>, traffic: TrafficData) -> HttpResponse {
     let TimelineQuery { about, from_stamp } = query.into_inner();
-    json(traffic.shared.ask(|done| Ask::Timeline { about, from_stamp, done }).await)
+    json(
+        traffic
+            .shared
+            .call_control(|reply| ControlRequest::Timeline { about, from_stamp, reply })
+            .await,
+    )
 }
 
 async fn show_text(traffic: TrafficData) -> HttpResponse {
-    match traffic.shared.ask(|done| Ask::Text { done }).await {
+    match traffic.shared.call_control(|reply| ControlRequest::Text { reply }).await {
         Some(Some(shown)) => HttpResponse::Ok().json(shown),
         Some(None) => HttpResponse::NotFound().finish(),
         None => HttpResponse::ServiceUnavailable().finish(),
@@ -225,7 +230,8 @@
         return HttpResponse::Forbidden().json(SubmitAnswer::Forbidden);
     }
     let submitted = submitted.into_inner();
-    let answer = traffic.shared.ask(|done| Ask::Submit { submitted, done }).await;
+    let answer =
+        traffic.shared.call_control(|reply| ControlRequest::Submit { submitted, reply }).await;
     let Some(answer) = answer else { return HttpResponse::ServiceUnavailable().finish() };
     let mut response = match &answer {
         SubmitAnswer::Accepted { .. } | SubmitAnswer::Superseded { .. } => HttpResponse::Ok(),
--- a/crates/eelgrasspier/tests/catalogue.rs
+++ b/crates/eelgrasspier/tests/catalogue.rs
@@ -7,7 +7,7 @@
 use eelgrasspier::event::CATALOGUE;
 
 #[test]
-fn the_docs_list_every_event_and_no_other() {
+fn event_catalogue_matches_docs() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/EVENTS.md");
     let text = std::fs::read_to_string(path).unwrap();
     let listed: BTreeSet<(u16, String, String)> = text
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_example_settings_are_right_and_mistakes_are_named() {
+fn example_settings_parse_and_errors_name_the_setting() {
     let example = include_str!("../../../examples/instance.ini");
     let settings = Settings::try_from(example).unwrap();
     assert_eq!((settings.name.as_str(), settings.zone.as_str()), ("entry-1", "pos-hall"));
--- a/crates/operator/src/cli.rs
+++ b/crates/operator/src/cli.rs
@@ -13,11 +13,11 @@
 use crate::output;
 
 /// Time between two looks at the instances while waiting.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Looks before waiting is given up.
-const MOST_LOOKS: usize = 150;
+const MAX_POLLS: usize = 150;
 /// Tries of an edit whose fate is not known.
-const MOST_TRIES: usize = 5;
+const MAX_SUBMIT_ATTEMPTS: usize = 5;
 
 /// What to do.
 #[derive(Debug, Clone, Bpaf)]
@@ -109,7 +109,7 @@
 
 /// Carries out a command; its failure is the exit code.
 pub async fn run(command: &Command) -> ExitCode {
-    let done = match command {
+    let result = match command {
         Command::Check { file } => check(file),
         Command::Submit { target, base, submitter, wait, file } => {
             submit(target, *base, submitter, *wait, file).await
@@ -120,7 +120,7 @@
             timeline(target, about, *last_s, *json).await
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
             eprintln!("{message}");
@@ -129,12 +129,12 @@
     }
 }
 
-fn read(file: &Path) -> Result<String, String> {
+fn read_file(file: &Path) -> Result<String, String> {
     std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))
 }
 
 fn check(file: &Path) -> Result<(), String> {
-    let text = read(file)?;
+    let text = read_file(file)?;
     let services = Services::try_from(text.as_str())
         .map_err(|errors| format!("{}:\n{errors}", file.display()))?;
     println!("{}: {} services, no errors", file.display(), services.by_name.len());
@@ -149,8 +149,8 @@
     file: &Path,
 ) -> Result<(), String> {
     check(file)?;
-    let edit_id = fresh_id();
-    let text = read(file)?;
+    let edit_id = new_edit_id();
+    let text = read_file(file)?;
     let base = base.to_number();
     let edit = Submitted { edit_id, base, submitter: submitter.to_owned(), text };
     println!("edit {edit_id}");
@@ -181,31 +181,31 @@
     edit: &Submitted,
 ) -> Result<SubmitAnswer, AdminError> {
     let mut last = client.submit(edit).await;
-    for _ in 1..MOST_TRIES {
+    for _ in 1..MAX_SUBMIT_ATTEMPTS {
         if !matches!(last, Ok(SubmitAnswer::Unknown { .. }) | Err(AdminError::Unreachable(_))) {
             break;
         }
-        actix_rt::time::sleep(LOOK_EVERY).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
         last = client.submit(edit).await;
     }
     last
 }
 
 /// A random id, from the random half of a UUID.
-fn fresh_id() -> u64 {
+fn new_edit_id() -> u64 {
     uuid::Uuid::now_v7().as_u64_pair().1
 }
 
 async fn wait_in_force(client: &AdminClient, version: u64) -> Result<(), String> {
-    let holds = |s: &&InstanceStatus| s.config_version >= Some(version);
-    for _ in 0..MOST_LOOKS {
+    let is_in_force = |s: &&InstanceStatus| s.config_version >= Some(version);
+    for _ in 0..MAX_POLLS {
         let all = client.status().await.map_err(|e| e.to_string())?;
-        let count = all.iter().filter(holds).count();
+        let count = all.iter().filter(is_in_force).count();
         if count == all.len() {
             println!("in force on {count} of {} instances", all.len());
             return Ok(());
         }
-        actix_rt::time::sleep(LOOK_EVERY).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     let version = Position::from_number(version);
     Err(format!("version {version} is not in force on all instances yet"))
@@ -221,7 +221,7 @@
 async fn status(target: &Target, json: bool) -> Result<(), String> {
     let all = target.client().status().await.map_err(|e| e.to_string())?;
     if json {
-        return output::json(&all);
+        return output::print_json(&all);
     }
     print!("{}", output::status_table(&all));
     Ok(())
@@ -236,7 +236,7 @@
     let from_stamp = last_s.map_or(0, output::stamp_before);
     let entries = target.client().timeline(about, from_stamp).await.map_err(|e| e.to_string())?;
     if json {
-        return output::json(&entries);
+        return output::print_json(&entries);
     }
     print!("{}", output::timeline_table(&entries));
     Ok(())
--- a/crates/operator/src/client.rs
+++ b/crates/operator/src/client.rs
@@ -10,7 +10,7 @@
 use crate::messages::{InstanceStatus, ShownText, SubmitAnswer, Submitted, TimelineEntry};
 
 /// Time-out of a call, in seconds.
-const TIMEOUT: Duration = Duration::from_secs(15);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 /// Largest answer in bytes.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
@@ -43,7 +43,7 @@
     /// A client for the instance at `base`, such as `http://127.0.0.1:8080`.
     #[must_use]
     pub fn new(base: &str, token: Option<&str>) -> Self {
-        let client = Client::builder().timeout(TIMEOUT).finish();
+        let client = Client::builder().timeout(REQUEST_TIMEOUT).finish();
         let base = base.trim_end_matches('/').to_owned();
         Self { base, token: token.map(str::to_owned), client }
     }
--- a/crates/operator/src/output.rs
+++ b/crates/operator/src/output.rs
@@ -10,12 +10,12 @@
 /// Bits of a stamp below its milliseconds.
 const STAMP_COUNTER_BITS: u32 = 16;
 /// Width of a column.
-const WIDTH: usize = 14;
+const COLUMN_WIDTH: usize = 14;
 /// Milliseconds of a day.
 const DAY_MS: u64 = 24 * 60 * 60 * 1000;
 
 /// Prints a value as indented JSON.
-pub(crate) fn json<T: Serialize>(value: &T) -> Result<(), String> {
+pub(crate) fn print_json<T: Serialize>(value: &T) -> Result<(), String> {
     let text = serde_json::to_string_pretty(value).map_err(|e| e.to_string())?;
     println!("{text}");
     Ok(())
@@ -32,13 +32,13 @@
 pub(crate) fn status_table(all: &[InstanceStatus]) -> String {
     let mut table = String::new();
     let header = ["instance", "zone", "state", "text", "members", "holders", "agreed", "leaving"];
-    row(&mut table, &header.map(str::to_owned));
+    push_row(&mut table, &header.map(str::to_owned));
     for s in all {
         let version = s
             .config_version
             .map_or_else(|| "-".to_owned(), |v| Position::from_number(v).to_string());
         let agreed = if s.is_share_agreed { "yes" } else { "no" };
-        row(
+        push_row(
             &mut table,
             &[
                 s.name.clone(),
@@ -60,24 +60,24 @@
     let mut table = String::new();
     for e in entries {
         let line = format!("E{} {}: {} {}", e.number, e.title, e.about, e.detail);
-        let row = format!("{} {:<12} {}\n", clock_text(e.stamp), e.instance, line.trim_end());
-        table.push_str(&row);
+        let line = format!("{} {:<12} {}\n", format_time(e.stamp), e.instance, line.trim_end());
+        table.push_str(&line);
     }
     table
 }
 
 /// Time of day of a stamp, in UTC, with the counter that orders within it.
-fn clock_text(stamp: u64) -> String {
+fn format_time(stamp: u64) -> String {
     let ms = (stamp >> STAMP_COUNTER_BITS) % DAY_MS;
     let counter = stamp & ((1 << STAMP_COUNTER_BITS) - 1);
     let (s, ms) = (ms / 1000, ms % 1000);
     format!("{:02}:{:02}:{:02}.{ms:03}+{counter}", s / 3600, s / 60 % 60, s % 60)
 }
 
-fn row(table: &mut String, cells: &[String]) {
+fn push_row(table: &mut String, cells: &[String]) {
     for cell in cells {
         table.push_str(cell);
-        table.extend(std::iter::repeat_n(' ', WIDTH.saturating_sub(cell.len()).max(1)));
+        table.extend(std::iter::repeat_n(' ', COLUMN_WIDTH.saturating_sub(cell.len()).max(1)));
     }
     let end = table.trim_end().len();
     table.truncate(end);
