--- a/crates/eelgrasspier/src/exchange.rs
+++ b/crates/eelgrasspier/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange on its way, which is cancelled when it is no longer wanted.
+//! A pending exchange with a backend server, cancelled when dropped.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -9,13 +9,13 @@
 
 use crate::replica::{ConnectionKind, Permit, Replica};
 
-/// Time that a cancelled exchange has to end, before its connection is closed.
+/// Time for a cancelled exchange to finish before its connection is closed.
 ///
-/// A connection costs several milliseconds to open again, so it is worth waiting
-/// for the server to act on the cancellation; a silent one is closed.
+/// Reopening a connection costs several milliseconds, so it is worth waiting for the server to act
+/// on the cancellation. The connection is closed if the server does not respond.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// One exchange; dropping it early tells the server to stop working.
+/// A pending exchange; dropping it early sends a cancellation to the server.
 pub(crate) struct PendingExchange {
     state: Option<ExchangeState>,
 }
@@ -26,11 +26,11 @@
     id: String,
     exchanger: Rc<dyn Exchanger>,
     started: Instant,
-    /// The same in milliseconds since the process started.
+    /// Start time in milliseconds since the process started.
     started_ms: u64,
 }
 
-/// The end of an exchange.
+/// A completed exchange.
 pub(crate) struct CompletedExchange {
     pub(crate) replica: Rc<Replica>,
     pub(crate) result: Result<PartAnswer, PartFailure>,
--- a/crates/eelgrasspier/src/forward.rs
+++ b/crates/eelgrasspier/src/forward.rs
@@ -1,8 +1,8 @@
-//! Shards whose replicas only other instances hold connections to.
+//! Forwarding of parts to instances that hold connections to the replicas.
 //!
-//! Where a replica allows fewer connections than there are instances, each one
-//! holds connections to a slice of the replicas. The other parts of a query are
-//! asked of instances that hold them, in one message each.
+//! If a replica allows fewer connections than there are instances, each instance connects to a
+//! subset of the replicas only. It requests the other parts of a query from instances that are
+//! connected to them, with one message to each.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -26,12 +26,12 @@
 use crate::shared::PartsRequest;
 use crate::traffic::TrafficThread;
 
-/// Time that is kept for the way back from another instance.
+/// Time reserved for the reply of another instance to arrive.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(2);
 
-/// Groups shards by an instance that holds a connection to one of their replicas.
+/// Groups shards by an instance that is connected to one of their replicas.
 ///
-/// The second list names shards for which there is no such instance now.
+/// The second list contains the shards for which no such instance is live.
 pub(crate) fn group_by_peer(
     context: &PartContext,
     shards: &[ShardId],
@@ -47,9 +47,9 @@
     (groups, unreachable)
 }
 
-/// A live instance in the slice of one of the shard's replicas, drawn at random.
+/// Returns a random live instance that is connected to one of the shard's replicas.
 ///
-/// Replicas in `tried` do not count.
+/// Replicas in `tried` are ignored.
 pub(crate) fn pick_peer(
     context: &PartContext,
     shard: ShardId,
@@ -80,9 +80,9 @@
     view.peers.iter().find(|peer| peer.key == chosen_key).map(|peer| peer.addr)
 }
 
-/// Asks another instance for parts.
+/// Requests parts from another instance.
 ///
-/// With [`Reach::OwnSlice`] it is to pass nothing on, not even as a hedge.
+/// With [`Forwarding::Forbidden`] that instance must not forward anything, not even a hedge.
 pub(crate) async fn request_parts(
     context: &PartContext,
     peer: SocketAddr,
@@ -131,7 +131,7 @@
     named.unwrap_or_else(|| MissReason::Failed(reason.to_owned()))
 }
 
-/// Gathers parts that other instances ask for, for as long as the thread runs.
+/// Serves requests for parts from other instances until the channel closes.
 pub(crate) async fn serve_peers(
     traffic: Rc<TrafficThread>,
     mut requests: mpsc::UnboundedReceiver<PartsRequest>,
@@ -139,7 +139,7 @@
     while let Some(PartsRequest { parts, mut reply }) = requests.recv().await {
         let traffic = Rc::clone(&traffic);
         actix_rt::spawn(async move {
-            // The asker may give up or go away: then the work here stops too.
+            // Stop working if the requesting instance gives up or disconnects.
             tokio::select! {
                 answer = gather_for_peer(&traffic, parts) => drop(reply.send(answer)),
                 () = reply.closed() => {}
@@ -148,16 +148,16 @@
     }
 }
 
-/// Asks another instance which snapshot it would choose.
+/// Requests the snapshot that another instance would select.
 ///
-/// An instance whose slice holds no replica of a service hears of no version itself,
-/// and would refuse every query for want of a snapshot.
+/// An instance without a connection to any replica of a service learns no index versions itself and
+/// would refuse every query for lack of a snapshot.
 pub(crate) async fn request_snapshot(
     traffic: &TrafficThread,
     service: &ServiceState,
     until: Instant,
 ) -> Option<Snapshot> {
-    // Any holder will do, but it must be one: others hear of no version either.
+    // Any connected instance will do; the others know no versions either.
     let mut shards = (0..service.spec.shards.len()).filter_map(|s| ShardId::try_from(s).ok());
     let peer = shards.find_map(|shard| pick_peer_for(traffic, service, shard, &[]))?;
     let request = Parts { service: service.name.to_string(), ..Parts::default() };
@@ -168,7 +168,7 @@
     (shard_count > 0).then_some(Snapshot { version, shard_count, reachable })
 }
 
-/// The snapshot that this instance would choose, for one that hears of none.
+/// Returns the snapshot selected here, for an instance that knows no index versions.
 fn own_snapshot(traffic: &Rc<TrafficThread>, service: &str) -> PartsDone {
     let chosen = traffic.service(service).and_then(|s| traffic.choose_snapshot(&s));
     chosen.map_or_else(PartsDone::default, |s| PartsDone {
@@ -191,7 +191,7 @@
     let scope = (parts.service.as_str(), QUERY_KIND);
     let crash_tracker = CrashTracker::new(&traffic.shared, scope, &parts.body, &request_id);
     if crash_tracker.treatment() != Treatment::Usual && !parts.is_trial {
-        // Whoever asks tries it on one server.
+        // The requesting instance runs the isolated trial.
         return all_missed_reply(&parts.shards, &MissReason::Deferred);
     }
     let context = PartContext {
--- a/crates/eelgrasspier/src/gather.rs
+++ b/crates/eelgrasspier/src/gather.rs
@@ -1,4 +1,4 @@
-//! Gathers the parts of one query from the shards, until the cut-off.
+//! Gathers the parts of one query from its shards until the cut-off.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -13,10 +13,10 @@
 use crate::part::{self, MissReason, PartContext};
 use crate::service::has_connections;
 
-/// What one shard, or a group of shards behind another instance, has brought.
+/// Results of one shard, or of the shards requested from one instance.
 pub(crate) type ShardResults = Vec<(ShardId, Result<Bytes, MissReason>)>;
 
-/// The parts that came in time and the shards that did not.
+/// Parts received in time and the shards that are missing.
 #[derive(Debug, Default)]
 pub(crate) struct GatherResult {
     pub(crate) parts: Vec<(ShardId, Bytes)>,
@@ -24,12 +24,12 @@
 }
 
 impl GatherResult {
-    /// Whether a replica no longer held the snapshot while the query ran.
+    /// Returns true if a replica dropped the snapshot while the query was executed.
     pub(crate) fn is_version_gone(&self) -> bool {
         self.missed.iter().any(|(_, miss)| *miss == MissReason::VersionGone)
     }
 
-    /// What the end of this query says about load.
+    /// Returns the outcome that admission control uses to adapt its limit.
     pub(crate) fn load_ending(&self) -> Ending {
         let has = |wanted: &MissReason| self.missed.iter().any(|(_, miss)| miss == wanted);
         if has(&MissReason::Shed) {
@@ -41,18 +41,18 @@
         }
     }
 
-    /// Takes out the shards that were held back.
+    /// Removes and returns the deferred shards.
     pub(crate) fn take_deferred(&mut self) -> Vec<ShardId> {
         let deferred = self.missed.extract_if(.., |(_, miss)| *miss == MissReason::Deferred);
         deferred.map(|(shard, _)| shard).collect()
     }
 
-    /// Notes shards as held back.
+    /// Marks shards as deferred.
     pub(crate) fn defer(&mut self, shards: impl IntoIterator<Item = ShardId>) {
         self.missed.extend(shards.into_iter().map(|shard| (shard, MissReason::Deferred)));
     }
 
-    /// Adds what was gathered of other shards.
+    /// Merges the result for other shards into this one.
     pub(crate) fn merge(&mut self, other: Self) {
         self.parts.extend(other.parts);
         self.missed.extend(other.missed);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Names every wanted shard that neither came nor failed as late.
+    /// Marks every wanted shard without a result as late.
     fn mark_rest_late(&mut self, wanted: &[ShardId]) {
         let mut seen: Vec<ShardId> = self.parts.iter().map(|(shard, _)| *shard).collect();
         seen.extend(self.missed.iter().map(|(shard, _)| *shard));
@@ -81,21 +81,21 @@
     }
 }
 
-/// Which shards other instances may be asked for.
+/// Permission to forward parts of a query to other instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Forwarding {
-    /// Shards in other instances' slices are asked for there.
+    /// Shards without a local connection, and hedges, are forwarded.
     Allowed,
-    /// The own slice, and hedges in other slices.
+    /// Only hedges are forwarded.
     HedgesOnly,
-    /// Only the own slice; a hedge that was asked for is never passed on.
+    /// Nothing is forwarded; used for forwarded hedges, which must not be forwarded again.
     Forbidden,
 }
 
-/// A shard, or a group of shards, on its way.
+/// Pending results of one shard or of the shards requested from one instance.
 pub(crate) type ShardFuture<'a> = Pin<Box<dyn Future<Output = ShardResults> + 'a>>;
 
-/// Asks all `wanted` shards at once and takes what comes before the cut-off.
+/// Requests all `wanted` shards in parallel and returns what arrives before the cut-off.
 pub(crate) async fn gather(context: &PartContext, wanted: &[ShardId]) -> GatherResult {
     let sources: FuturesUnordered<ShardFuture<'_>> = FuturesUnordered::new();
     let (local, remote) = split_local(context, wanted);
@@ -114,7 +114,7 @@
         )));
     }
     let collecting = collect(sources, &mut gathered);
-    // At the cut-off the sources are dropped, which cancels what is on its way.
+    // At the cut-off the futures are dropped, which cancels the exchanges in progress.
     drop(tokio::time::timeout_at(context.cutoff.into(), collecting).await);
     gathered.mark_rest_late(wanted);
     gathered
@@ -131,7 +131,7 @@
     vec![(shard, answer)]
 }
 
-/// Splits shards into those of the own slice and those of other instances.
+/// Splits shards into those handled locally and those to forward to other instances.
 fn split_local(context: &PartContext, wanted: &[ShardId]) -> (Vec<ShardId>, Vec<ShardId>) {
     let shards = &context.service.shards;
     let is_local = |shard: &ShardId| {
--- a/crates/eelgrasspier/src/part.rs
+++ b/crates/eelgrasspier/src/part.rs
@@ -1,4 +1,4 @@
-//! One part of a query: replica, hedge, retry.
+//! Gathering of one part of a query: replica selection, hedging and retries.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 use crate::service::ServiceState;
 use crate::traffic::TrafficThread;
 
-/// Why a shard is missed.
+/// Reason why a shard is missing from an answer.
 #[derive(Debug, Display, Clone, PartialEq, Eq)]
 pub(crate) enum MissReason {
     /// late
@@ -38,7 +38,7 @@
     Failed(String),
 }
 
-/// What all parts of one query have in common.
+/// State shared by all parts of one query.
 #[derive(Debug)]
 pub(crate) struct PartContext {
     pub(crate) traffic: Rc<TrafficThread>,
@@ -47,31 +47,31 @@
     pub(crate) body: Bytes,
     pub(crate) snapshot: Snapshot,
     pub(crate) cutoff: Instant,
-    /// Which shards and hedges other instances may be asked for.
+    /// Parts and hedges that may be forwarded to other instances.
     pub(crate) forwarding: Forwarding,
-    /// The longest exchange that brought a part, to tell the own time from theirs.
+    /// Longest successful exchange; subtracted from the total to measure the time added here.
     pub(crate) slowest_exchange: Cell<Duration>,
-    /// Its part in the ends of servers.
+    /// Tracks crashes of backend servers under this query.
     pub(crate) crash_tracker: CrashTracker,
 }
 
-/// One part on its way.
+/// Gathering of one part, in progress.
 struct PartTask<'a> {
     context: &'a PartContext,
     shard: ShardId,
     tried: Vec<u64>,
     in_flight: FuturesUnordered<PendingExchange>,
-    /// A hedge by way of another instance.
+    /// A hedge sent through another instance.
     remote_hedge: Option<ShardFuture<'a>>,
 }
 
-/// What comes first of the exchanges and the hedge elsewhere.
+/// Completion of a local exchange or of the hedge sent through another instance.
 enum Completion {
     Local(CompletedExchange),
     Remote(Option<Bytes>),
 }
 
-/// What made an exchange start, for the extra load's count.
+/// Cause of an exchange, as a label of the parts counter.
 #[derive(Debug, Clone, Copy)]
 enum Cause {
     First,
@@ -79,7 +79,12 @@
     Retry,
 }
 
-/// Gathers one part; dropped early, whatever is on its way is cancelled.
+/// Gathers one part.
+///
+/// Dropping the future cancels the exchanges in progress.
+///
+/// # Errors
+/// Returns the reason why the shard is missing.
 pub(crate) async fn gather_part(
     context: &PartContext,
     shard: ShardId,
@@ -98,7 +103,7 @@
 }
 
 impl PartTask<'_> {
-    /// Starts the first exchange, waiting for a free connection if need be.
+    /// Starts the first exchange, after waiting for a free connection if there is none.
     async fn start_first_exchange(&mut self) -> Result<(), MissReason> {
         loop {
             let connection_freed = self.context.traffic.connection_freed.notified();
@@ -153,7 +158,7 @@
         }
     }
 
-    /// Waits for an exchange, or for the hedge elsewhere, which is then used up.
+    /// Waits for the next completed exchange or for the remote hedge, which is then cleared.
     async fn next_completion(&mut self) -> Completion {
         let Some(remote_hedge) = &mut self.remote_hedge else {
             return self.in_flight.next().await.map_or(Completion::Remote(None), Completion::Local);
@@ -170,7 +175,7 @@
         Completion::Remote(outcomes.into_iter().find_map(|(_, outcome)| outcome.ok()))
     }
 
-    /// The wait before a hedge; `None` where there is to be none.
+    /// Returns the delay before a hedge; `None` if hedging is disabled or no latency is known.
     fn hedge_delay(&self) -> Option<Duration> {
         let per_mille = self.context.traffic.shared.settings.policy.hedge_per_mille;
         if per_mille == 0 || self.context.service.spec.hedge_percent == 0 {
@@ -189,7 +194,7 @@
         let peer = match context.forwarding {
             _ if is_local => None,
             Forwarding::Forbidden => return,
-            // The other replicas may be in other instances' slices only.
+            // The other replicas may be reachable through other instances only.
             Forwarding::Allowed | Forwarding::HedgesOnly => {
                 forward::pick_peer(context, self.shard, &self.tried)
             }
@@ -210,7 +215,10 @@
         }
     }
 
-    /// Tries another replica where one may do better; else the part is missed.
+    /// Retries on another replica if that may succeed.
+    ///
+    /// # Errors
+    /// Returns the reason if nothing else is in progress for this shard.
     fn handle_failure(&mut self, failure: PartFailure) -> Result<(), MissReason> {
         let is_deferred = self.context.crash_tracker.should_defer();
         let may_retry = failure.is_retryable() && !is_deferred && !self.candidates().is_empty();
@@ -229,11 +237,10 @@
         })
     }
 
-    /// Replicas that may hold the snapshot, take new work and are not down.
+    /// Returns the reachable replicas that may hold the snapshot and accept new work.
     ///
-    /// A shard whose replicas are all down is missed at once. To try one all the same
-    /// would hold up every query until its cut-off; the probes find the replica back
-    /// within a moment of its return.
+    /// A shard whose replicas are all down is missed at once: trying one anyway would delay every
+    /// query until its cut-off. Probes detect a recovered replica shortly after its return.
     fn eligible_replicas(&self) -> impl Iterator<Item = &Rc<Replica>> {
         let Snapshot { version, shard_count, .. } = self.context.snapshot;
         let held = Held { version, shard_count };
@@ -244,7 +251,7 @@
         })
     }
 
-    /// Holders with a free connection that were not tried yet.
+    /// Returns eligible replicas with a free connection that were not tried yet.
     fn candidates(&self) -> Vec<Candidate> {
         let now_ms = self.context.traffic.shared.now_ms();
         let slots = self.context.service.spec.slots;
@@ -265,7 +272,7 @@
             .collect()
     }
 
-    /// Starts an exchange with the best candidate; returns whether there was one.
+    /// Starts an exchange with the best candidate; returns false if there is none.
     fn start_exchange(&mut self, cause: Cause) -> bool {
         let context = self.context;
         let choice = context.traffic.shared.settings.policy.choice;
--- a/crates/eelgrasspier/src/query.rs
+++ b/crates/eelgrasspier/src/query.rs
@@ -1,4 +1,4 @@
-//! A query: one snapshot, all wanted shards, true coverage.
+//! Execution of one query: pins a snapshot, gathers all requested shards and reports the coverage.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,24 +19,27 @@
 use crate::service::ServiceState;
 use crate::traffic::TrafficThread;
 
-/// Least time that is kept for merging and for the way back to the caller.
+/// Minimum time reserved for merging the parts and sending the response.
 const MIN_RESPONSE_MARGIN: Duration = Duration::from_millis(4);
-/// Part of a longer deadline that is kept for them: busy threads are late themselves.
+/// Divisor of the deadline that gives the reserved time for longer deadlines.
+///
+/// Threads that are busy need more time for merging and sending.
 const RESPONSE_MARGIN_DIVISOR: u32 = 25;
-/// Least time that is worth a second try on a newer snapshot.
+/// Minimum remaining time for a retry on a newer snapshot.
 const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(10);
-/// When to come back where no snapshot is known yet.
+/// Retry delay suggested to callers when no snapshot is known or the coverage is too low.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// Kind of these requests, as part of their fingerprints.
+/// Request kind that enters the fingerprint of a query.
 pub(crate) const QUERY_KIND: &str = "query";
-/// Times that a query is tried on one server at the most: two ends prove enough, and one trial
-/// may bring nothing.
+/// Maximum number of isolated trials of one query.
+///
+/// Two crashes are sufficient evidence, and one trial may be inconclusive.
 const MAX_TRIALS: usize = 3;
-/// Time for which the trial of another query of the same is waited for.
+/// Time between polls while another query with the same fingerprint is on trial.
 const TRIAL_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A checked query.
+/// A validated query.
 #[derive(Debug)]
 pub(crate) struct Query {
     pub(crate) service: Rc<ServiceState>,
@@ -47,7 +50,11 @@
 }
 
 impl Query {
-    /// Answers the query, or refuses it at once.
+    /// Executes the query and returns its answer.
+    ///
+    /// # Errors
+    /// Returns a refusal if the query is quarantined, not admitted, has no snapshot or lacks
+    /// coverage.
     pub(crate) async fn execute(self, traffic: &Rc<TrafficThread>) -> Result<Answer, Refusal> {
         let call = &self.call;
         let scope = (&*self.service.name, QUERY_KIND);
@@ -128,9 +135,9 @@
         Ok(chosen.iter().copied().collect())
     }
 
-    /// A newer snapshot for one more try, where the pinned version vanished.
+    /// Returns a newer snapshot for a retry if the pinned version has disappeared.
     ///
-    /// The parts of the first try are thrown away: an answer never mixes versions.
+    /// The parts of the first attempt are discarded, because an answer must not mix versions.
     fn retry_snapshot(&self, context: &PartContext, gathered: &GatherResult) -> Option<Snapshot> {
         let left = context.cutoff.saturating_duration_since(Instant::now());
         if self.call.version.is_some() || !gathered.is_version_gone() || left < MIN_TIME_FOR_RETRY {
@@ -150,7 +157,7 @@
         }
         let number = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         let reason = RefusalReason::Coverage { covered: number(covered), wanted: number(required) };
-        // Parts of it did run; a query may be repeated, so it is worth coming back.
+        // Some parts were executed, but queries are idempotent, so the caller may retry.
         let refusal = Refusal::may_have_run(reason);
         Err(Refusal { retry_after_ms: Some(RETRY_AFTER_MS), ..refusal })
     }
@@ -181,10 +188,10 @@
     }
 }
 
-/// Gathers `wanted`, and what was held back since servers were lost, once more is known.
+/// Gathers `wanted`, then the shards deferred because backend servers may have crashed.
 ///
-/// A query under which servers have ended goes to one server at a time until one answers; the
-/// rest follows. It is refused, or given up, where that one ends too.
+/// If the query is suspected of crashing backend servers, it is sent to one server at a time until
+/// one answers; the remaining shards follow. If it becomes refused, its shards stay deferred.
 async fn gather_with_quarantine(context: &PartContext, wanted: &[ShardId]) -> GatherResult {
     let crash_tracker = &context.crash_tracker;
     let mut gathered = GatherResult::default();
@@ -212,7 +219,7 @@
             break;
         }
         let Some(trial) = crash_tracker.begin_trial() else {
-            // Another query of the same is being tried: its end tells.
+            // Another query with the same fingerprint is on trial; its result applies here too.
             tokio::time::sleep(TRIAL_POLL_INTERVAL).await;
             gathered.defer(deferred);
             continue;
--- a/crates/eelgrasspier/src/run.rs
+++ b/crates/eelgrasspier/src/run.rs
@@ -1,4 +1,4 @@
-//! A request that must not run twice: one claim, one send.
+//! Execution of a non-idempotent request: one claim, at most one send that may execute it.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -21,19 +21,19 @@
 use crate::shared::ControlRequest;
 use crate::traffic::TrafficThread;
 
-/// Time that is kept for the backend server's work when a key is being claimed.
+/// Time reserved for execution on the backend server while a claim or connection is pending.
 const MIN_EXECUTION_TIME: Duration = Duration::from_millis(50);
-/// Pause between looks for a free connection.
+/// Time between attempts to acquire a free connection.
 const CONNECTION_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// When to come back where the platform did not confirm.
+/// Retry delay suggested to callers when the platform did not confirm the claim.
 const CLAIM_RETRY_AFTER_MS: u64 = 1_000;
-/// When to come back where no backend server took the request.
+/// Retry delay suggested to callers when no backend server accepted the request.
 const REPLICA_RETRY_AFTER_MS: u64 = 500;
 
-/// Kind of these requests, as part of their fingerprints.
+/// Request kind that enters the fingerprint of a run.
 const RUN_KIND: &str = "run";
 
-/// A checked request that must not run twice.
+/// A validated request that must not be executed twice.
 #[derive(Debug)]
 pub(crate) struct Run {
     pub(crate) service: Rc<ServiceState>,
@@ -43,7 +43,7 @@
     pub(crate) deadline: Instant,
 }
 
-/// The claim of one attempt; dropped before anything was sent, it is given back.
+/// Claim of one attempt; dropping it before anything was sent releases the claim.
 struct ClaimGuard<'a> {
     run: &'a Run,
     traffic: &'a TrafficThread,
@@ -61,7 +61,10 @@
 }
 
 impl Run {
-    /// Runs the request at most once, or refuses it with a true verdict.
+    /// Executes the request at most once and returns its answer.
+    ///
+    /// # Errors
+    /// Returns a refusal whose verdict states whether the request may have been executed.
     pub(crate) async fn execute(self, traffic: &Rc<TrafficThread>) -> Result<RunAnswer, Refusal> {
         self.check_shard()?;
         let scope = (&*self.service.name, RUN_KIND);
@@ -70,7 +73,7 @@
         if let Treatment::Refused(left_ms) = treatment {
             return Err(Refusal::not_run(RefusalReason::EndsReplicas, Some(left_ms)));
         }
-        // It goes to one server as it is; what ends that one has nothing beside it.
+        // A run goes to a single server anyway, so it needs no further isolation.
         let trial = (treatment == Treatment::OneByOne).then(|| crash_tracker.enter_trial());
         let call = &self.call.call;
         let admitted = self.service.admit(&call.team, call.weight, self.deadline, epoch_ms).await?;
@@ -84,7 +87,7 @@
         result
     }
 
-    /// A shard that the service does not have is the caller's mistake.
+    /// Rejects shard numbers that the service does not have.
     fn check_shard(&self) -> Result<(), Refusal> {
         let count = self.service.shards.len();
         let chosen = self.call.call.shards.as_ref().and_then(|s| s.first().copied());
@@ -102,7 +105,7 @@
         traffic: &Rc<TrafficThread>,
         crash_tracker: &CrashTracker,
     ) -> Result<RunAnswer, Refusal> {
-        // The connection comes first: a claim without one would only be given back.
+        // Acquire the connection before the claim: a claim without a connection would be released.
         let permit = self.acquire_permit(traffic, None).await?;
         let mut claim = self.claim(traffic).await?;
         let record = |e, detail: &str| traffic.shared.timeline.record(e, &self.request_id, detail);
@@ -161,7 +164,10 @@
         }
     }
 
-    /// A connection to a replica, waiting for a free one while there is time.
+    /// Acquires a connection to a replica, waiting for a free one until the deadline allows no
+    /// more.
+    ///
+    /// Replica `excluded` is not used.
     async fn acquire_permit(
         &self,
         traffic: &TrafficThread,
@@ -218,7 +224,7 @@
         })
     }
 
-    /// The shard that the caller chose, or one by the key.
+    /// Returns the shard requested by the caller, or one derived from the idempotency key.
     fn target_shard(&self) -> Option<ShardId> {
         let chosen = self.call.call.shards.as_ref().and_then(|s| s.first().copied());
         let count = self.service.shards.len() as u128;
@@ -245,7 +251,9 @@
     }
 }
 
-/// The refusal after a failed exchange; a claim that surely did not run is released.
+/// Returns the refusal for a failed exchange.
+///
+/// The claim is released if the request was certainly not executed.
 fn refusal_for(claim: &mut ClaimGuard<'_>, failure: &PartFailure) -> Refusal {
     if failure.verdict() == Verdict::NotRun {
         claim.attempt = claim.attempt.not_sent();
