--- a/crates/eelgrasspier/src/crash_tracker.rs
+++ b/crates/eelgrasspier/src/crash_tracker.rs
@@ -1,4 +1,4 @@
-//! One request's part in the ends of backend servers: what was lost, and what waits for that.
+//! Per-request tracking of lost exchanges that may be crashes of backend servers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,17 +12,18 @@
 use crate::replica::Replica;
 use crate::shared::SharedRef;
 
-/// Servers that have lost a request which nobody has answered from which further sends wait
-/// until it is known whether they have ended. One is lost often.
+/// Number of servers that must have lost an unanswered request before further sends are deferred.
+///
+/// They are deferred until it is known whether these servers have crashed. A single loss is common.
 const MIN_LOSSES_TO_DEFER: usize = 2;
-/// Pause between two looks whether that is known.
+/// Time between polls for the result of crash checks.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Time for which it is waited for: a refused connection takes a way there and back.
+/// Maximum wait for crash checks; a refused connection takes one round trip.
 const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(60);
-/// Time for which others of the same request wait for the end of a trial, in milliseconds.
+/// Maximum time for which the same request waits for a trial in progress, in milliseconds.
 const MAX_TRIAL_MS: u64 = 100;
 
-/// What shows of one request while it is worked on.
+/// Crash tracking of one request while it is being processed.
 #[derive(Debug)]
 pub(crate) struct CrashTracker {
     shared: SharedRef,
@@ -30,12 +31,15 @@
     request_id: Rc<str>,
     is_answered: Cell<bool>,
     loss_count: Cell<usize>,
-    /// Whether it is being tried on one server by itself.
+    /// True while the request is on an isolated trial.
     is_trial: Cell<bool>,
 }
 
 impl CrashTracker {
-    /// A query or a run of `service`, the only parts that its servers are given besides the shard.
+    /// Creates the tracker of a request of `kind` (query or run) to `service`.
+    ///
+    /// Service, kind and body form the fingerprint: apart from the shard, they are all that a
+    /// server receives.
     pub(crate) fn new(
         shared: &SharedRef,
         (service, kind): (&str, &str),
@@ -52,31 +56,31 @@
         }
     }
 
-    /// How the request is treated now.
+    /// Returns the current treatment of the request.
     pub(crate) fn treatment(&self) -> Treatment {
         self.shared.treatment(self.fingerprint)
     }
 
-    /// Whether a server has answered it.
+    /// Returns true if a server has answered the request.
     pub(crate) fn is_answered(&self) -> bool {
         self.is_answered.get()
     }
 
-    /// Whether nothing more is sent until more is known.
+    /// Returns true if further sends must be deferred until more is known.
     pub(crate) fn should_defer(&self) -> bool {
         !self.is_answered.get()
             && (self.loss_count.get() >= MIN_LOSSES_TO_DEFER
                 || self.treatment() != Treatment::Usual)
     }
 
-    /// Notes that a server has answered it.
+    /// Records that a server has answered the request.
     pub(crate) fn record_answer(&self) {
         if !self.is_answered.replace(true) {
             self.shared.record_answer(self.fingerprint);
         }
     }
 
-    /// Notes that a server has lost it, and finds out whether that has ended.
+    /// Records that a server has lost the request, and checks whether that server has crashed.
     pub(crate) fn record_loss(&self, replica: &Replica) {
         if self.is_answered.get() {
             return;
@@ -95,7 +99,7 @@
         });
     }
 
-    /// Waits until it is known of all servers that have lost it whether they have ended.
+    /// Waits until all crash checks for the request have finished or timed out.
     pub(crate) async fn wait_for_crash_checks(&self) {
         let polls = CRASH_CHECK_TIMEOUT.as_millis() / POLL_INTERVAL.as_millis();
         for _ in 0..polls {
@@ -107,25 +111,25 @@
         self.loss_count.set(0);
     }
 
-    /// A trial on one server, until dropped; `None` while another one is made.
+    /// Begins an isolated trial that lasts until dropped; `None` if another one is in progress.
     pub(crate) fn begin_trial(&self) -> Option<Trial<'_>> {
         let is_free = self.shared.begin_trial(self.fingerprint, MAX_TRIAL_MS);
         is_free.then(|| self.enter_trial())
     }
 
-    /// The same where another instance has begun it.
+    /// Enters the trial mode without reserving a trial, for one begun by another instance or a run.
     pub(crate) fn enter_trial(&self) -> Trial<'_> {
         self.is_trial.set(true);
         Trial(self)
     }
 
-    /// Whether a trial is being made.
+    /// Returns true if the request is on an isolated trial.
     pub(crate) fn is_trial(&self) -> bool {
         self.is_trial.get()
     }
 }
 
-/// A request that is being tried on one server by itself.
+/// An isolated trial of a request on one server; dropping it ends the trial.
 #[derive(Debug)]
 pub(crate) struct Trial<'a>(&'a CrashTracker);
 
--- a/crates/eelgrasspier/src/quarantine.rs
+++ b/crates/eelgrasspier/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! What this process knows of requests that end backend servers; all its threads share it.
+//! Quarantine of requests that crash backend servers, shared by all threads of the process.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -9,32 +9,32 @@
 use crate::event;
 use crate::shared::{ControlRequest, Shared};
 
-/// Requests under which backend servers have ended, and losses that are looked into.
+/// Quarantined requests and losses whose cause is being checked.
 #[derive(Debug, Default)]
 pub(crate) struct QuarantineState {
     requests: Mutex<Quarantine>,
     losses: Mutex<Losses>,
 }
 
-/// Held for some microseconds at a time.
+/// Locks a mutex; it is held for a few microseconds at a time.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Shared {
-    /// How a request is treated.
+    /// Returns the current treatment of a request.
     pub(crate) fn treatment(&self, request: Fingerprint) -> Treatment {
         lock(&self.quarantine.requests).treatment(request, self.now_ms())
     }
 
-    /// Notes that a server has answered a request.
+    /// Records that a server has answered a request.
     pub(crate) fn record_answer(&self, request: Fingerprint) {
         lock(&self.quarantine.losses).answered(request);
         let finding = lock(&self.quarantine.requests).note_answered(request, self.now_ms());
         self.publish_finding(request, finding);
     }
 
-    /// Notes a loss of a request that nobody has answered; returns what is to be done about it.
+    /// Records that a server lost an unanswered request; returns what is known about the server.
     pub(crate) fn record_loss(&self, server: u64, lost: Lost) -> Known {
         let status = lock(&self.quarantine.losses).add(server, lost, self.now_ms());
         if let Known::HasEnded(ended) = status {
@@ -43,7 +43,7 @@
         status
     }
 
-    /// Notes whether a server that has lost requests has ended.
+    /// Records whether a server that lost requests has crashed.
     pub(crate) fn record_crash_check(&self, server: u64, has_crashed: bool) {
         let ended = lock(&self.quarantine.losses).resolve(server, has_crashed, self.now_ms());
         for ended in ended {
@@ -51,22 +51,22 @@
         }
     }
 
-    /// Servers that have lost a request and of which it is not known yet whether they ended.
+    /// Returns the number of servers that lost the request and are still being checked for a crash.
     pub(crate) fn pending_crash_checks(&self, request: Fingerprint) -> usize {
         lock(&self.quarantine.losses).awaited(request)
     }
 
-    /// Whether a request may be tried on one server now, for `most_ms` at the most.
+    /// Starts an isolated trial for `max_ms` at most; returns false if another one is in progress.
     pub(crate) fn begin_trial(&self, request: Fingerprint, max_ms: u64) -> bool {
         lock(&self.quarantine.requests).begin_trial(request, self.now_ms(), max_ms)
     }
 
-    /// Notes that a trial has ended, however it did.
+    /// Records that a trial has ended, with any result.
     pub(crate) fn end_trial(&self, request: Fingerprint) {
         lock(&self.quarantine.requests).end_trial(request);
     }
 
-    /// Takes in what another instance knows.
+    /// Merges a report from another instance.
     pub(crate) fn apply_peer_report(&self, report: &Report) {
         let finding = lock(&self.quarantine.requests).merge(report, self.now_ms());
         self.record_finding(Fingerprint(report.fingerprint), finding, "another instance");
@@ -77,7 +77,7 @@
         self.publish_finding(ended.request, finding);
     }
 
-    /// Writes down what was found out here, and has others told.
+    /// Records a local finding and sends it to the other instances.
     fn publish_finding(&self, request: Fingerprint, finding: Finding) {
         if finding == Finding::Unchanged {
             return;
@@ -85,7 +85,7 @@
         self.record_finding(request, finding, "own");
         let report = lock(&self.quarantine.requests).report(request, self.now_ms());
         if let Some(report) = report {
-            // A control thread that has ended has nobody left to tell.
+            // Sending fails only after the control thread has ended; then nothing needs to be sent.
             let _send_failed = self.control.send(ControlRequest::SendReport(report)).is_err();
         }
     }
@@ -100,8 +100,9 @@
         let report = lock(&self.quarantine.requests).report(request, self.now_ms());
         let Report { ended, ended_alone, refused_ms, .. } = report.unwrap_or_default();
         let (ended, alone) = (ended.len(), ended_alone.len());
-        let detail =
-            format!("ended {ended}, alone {alone}, refused for {refused_ms} ms, from {source}");
+        let detail = format!(
+            "crashes {ended}, of these isolated {alone}, refused for {refused_ms} ms, from {source}"
+        );
         self.timeline.record(event, &request.to_string(), &detail);
     }
 }
--- a/crates/eelgrasspier/src/replica.rs
+++ b/crates/eelgrasspier/src/replica.rs
@@ -1,4 +1,4 @@
-//! One replica as a traffic thread knows it, and permits for its connections.
+//! State of one replica on a traffic thread, and permits for its connections.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,19 +10,19 @@
 use eelgrasspier_decide::text::ReplicaSpec;
 use tokio::sync::Notify;
 
-/// Failed contacts in a row after which a replica is taken for down.
+/// Number of consecutive failed contacts after which a replica counts as down.
 const FAILURES_UNTIL_DOWN: u32 = 2;
 
-/// What a connection is used for; each lane has its own share.
+/// Use of a connection; each kind has its own limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConnectionKind {
     /// Queries, probes and cancellations.
     Query = 0,
-    /// Requests that must not run twice.
+    /// Requests that must not be executed twice.
     Run = 1,
 }
 
-/// One replica.
+/// State of one replica.
 #[derive(Debug)]
 pub(crate) struct Replica {
     pub(crate) spec: ReplicaSpec,
@@ -33,22 +33,22 @@
     report: RefCell<Report>,
     last_contact_ms: Cell<Option<u64>>,
     consecutive_failures: Cell<u32>,
-    /// Wakes parts that wait for a free connection.
+    /// Wakes tasks that wait for a free connection.
     connection_freed: Rc<Notify>,
 }
 
-/// How an answer has changed what is known of a replica.
+/// Change in the state of a replica caused by a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct ReportChange {
-    /// What it holds, or whether it can be used.
+    /// True if its versions or its availability changed.
     pub(crate) is_changed: bool,
-    /// It says that it is leaving, which it did not before.
+    /// Set if the server newly announces that it is leaving.
     pub(crate) leaving: Option<Server>,
-    /// It was down and is not any more.
+    /// True if the replica was down before.
     pub(crate) is_recovered: bool,
 }
 
-/// Permission to use one connection; dropping it gives the connection back.
+/// Permit to use one connection; dropping it releases the connection.
 #[derive(Debug)]
 pub(crate) struct Permit {
     replica: Rc<Replica>,
@@ -85,22 +85,22 @@
         }
     }
 
-    /// Connections of a lane.
+    /// Returns the connection limit of a kind.
     pub(crate) fn limit(&self, kind: ConnectionKind) -> u32 {
         self.limits[kind as usize].get()
     }
 
-    /// Connections of a lane that are in use.
+    /// Returns the number of connections of a kind in use.
     pub(crate) fn used(&self, kind: ConnectionKind) -> u32 {
         self.used[kind as usize].get()
     }
 
-    /// Sets the connections of a lane; returns whether there are fewer than before.
+    /// Sets the connection limit of a kind; returns true if it was lowered.
     pub(crate) fn set_limit(&self, kind: ConnectionKind, limit: u32) -> bool {
         self.limits[kind as usize].replace(limit) > limit
     }
 
-    /// Takes a connection, if one is free.
+    /// Acquires a connection of a kind, if one is free.
     pub(crate) fn acquire(self: &Rc<Self>, kind: ConnectionKind) -> Option<Permit> {
         let used = &self.used[kind as usize];
         if used.get() >= self.limit(kind) {
@@ -111,12 +111,12 @@
         Some(Permit { replica: Rc::clone(self), kind })
     }
 
-    /// Whether a connection of the lane is free.
+    /// Returns true if a connection of the kind is free.
     pub(crate) fn is_free(&self, kind: ConnectionKind) -> bool {
         self.used(kind) < self.limit(kind)
     }
 
-    /// Takes in an answer's report.
+    /// Applies the report that came with an answer.
     pub(crate) fn apply_report(&self, report: &Report, now_ms: u64) -> ReportChange {
         self.last_contact_ms.set(Some(now_ms));
         let is_recovered = self.consecutive_failures.replace(0) >= FAILURES_UNTIL_DOWN;
@@ -132,44 +132,45 @@
         ReportChange { is_changed, leaving, is_recovered }
     }
 
-    /// Notes a failed contact; returns whether the replica is down from now on.
+    /// Records a failed contact; returns true if the replica is down as of this one.
     pub(crate) fn record_failure(&self, now_ms: u64) -> bool {
         self.load.borrow_mut().failed(now_ms);
         self.consecutive_failures.set(self.consecutive_failures.get().saturating_add(1));
         self.consecutive_failures.get() == FAILURES_UNTIL_DOWN
     }
 
-    /// Whether several contacts in a row have failed.
+    /// Returns true if too many consecutive contacts have failed.
     pub(crate) fn is_down(&self) -> bool {
         self.consecutive_failures.get() >= FAILURES_UNTIL_DOWN
     }
 
-    /// Whether new work may be sent: it neither is leaving nor was said to.
+    /// Returns true if new work may be sent: the server is not leaving by any report.
     pub(crate) fn accepts_work(&self, leaving: &Leaving) -> bool {
         let report = self.report.borrow();
         !report.is_draining && !leaving.contains(self.server(report.incarnation))
     }
 
-    /// Whether it says that it holds this version in this partition map.
+    /// Returns true if the replica reports this version with this shard count.
     pub(crate) fn holds(&self, held: Held) -> bool {
         self.report.borrow().held.contains(&held)
     }
 
-    /// Whether it holds this version, or was never heard of: it says so itself if it does not.
+    /// Returns true if the replica holds this version or has not reported yet.
     ///
-    /// An instance serves as soon as its share of connections is agreed on, and on a busy machine
-    /// the first report of a replica comes a moment later. Other instances ask it for parts from
-    /// that replica already, and answers lacked these shards.
+    /// An instance serves as soon as its connection share is agreed on; on a busy machine the first
+    /// report of a replica arrives slightly later. Other instances already request parts of that
+    /// replica by then, and their answers would lack these shards. A replica that lacks the version
+    /// refuses the request.
     pub(crate) fn may_hold(&self, held: Held) -> bool {
         self.last_contact_ms().is_none() || self.holds(held)
     }
 
-    /// The versions that it says it holds.
+    /// Returns the versions that the replica reports.
     pub(crate) fn held(&self) -> Vec<Held> {
         self.report.borrow().held.clone()
     }
 
-    /// When it was last heard of, in milliseconds since this process started.
+    /// Returns the time of the last contact, in milliseconds since this process started.
     pub(crate) fn last_contact_ms(&self) -> Option<u64> {
         self.last_contact_ms.get()
     }
--- a/crates/eelgrasspier/src/service.rs
+++ b/crates/eelgrasspier/src/service.rs
@@ -1,4 +1,4 @@
-//! One service as a traffic thread serves it: replicas, gate, budgets, snapshot.
+//! State of one service on a traffic thread: replicas, admission, budgets and snapshots.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,14 +16,14 @@
 
 use crate::replica::{ConnectionKind, Replica};
 
-/// Hedges that may be saved up.
+/// Maximum number of unused hedges in the budget.
 const MAX_SAVED_HEDGES: u32 = 20;
-/// Retries in percent of ordinary parts.
+/// Retry budget in percent of regular parts.
 const RETRY_PERCENT: u32 = 10;
-/// Retries that may be saved up.
+/// Maximum number of unused retries in the budget.
 const MAX_SAVED_RETRIES: u32 = 50;
 
-/// One service.
+/// State of one service.
 #[derive(Debug)]
 pub(crate) struct ServiceState {
     pub(crate) spec: Arc<Service>,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Bounds the requests in progress by the connections of the poorest shard.
+    /// Limits the requests in progress to the connections of the shard that has the fewest.
     pub(crate) fn update_admission_limit(&self) {
         let shard_limit = |shard: &Vec<Rc<Replica>>| -> u32 {
             shard.iter().map(|r| r.limit(ConnectionKind::Query)).sum()
@@ -63,7 +63,7 @@
         self.admission.borrow_mut().set_most(limit.unwrap_or(1));
     }
 
-    /// Shows the connections that are allowed and those in use.
+    /// Updates the gauges of allowed and used connections.
     pub(crate) fn set_gauges(&self) {
         let replicas = || self.shards.iter().flatten();
         let lanes = [ConnectionKind::Query, ConnectionKind::Run];
@@ -75,7 +75,7 @@
         metrics::gauge!("eelgrasspier_connections_used", "service" => service).set(f64::from(used));
     }
 
-    /// What the open replicas hold; computed anew when `epoch` has moved.
+    /// Returns the versions held by the replicas that accept work; rebuilt when `epoch` changes.
     pub(crate) fn catalogue(&self, epoch: u64, leaving: &Leaving) -> Rc<Catalogue> {
         if self.catalogue_epoch.replace(epoch) != epoch {
             *self.catalogue.borrow_mut() = Rc::new(self.build_catalogue(leaving));
@@ -95,7 +95,7 @@
         }
         all.sort_unstable();
         all.dedup();
-        // What replicas in other instances' slices hold is found out by asking.
+        // Versions of replicas without a local connection are not known; assume all known versions.
         for (number, replicas) in self.numbered_shards() {
             if !has_connections(replicas) {
                 catalogue.add(number, &all);
@@ -108,7 +108,10 @@
         self.shards.iter().enumerate().map(|(i, r)| (ShardId::try_from(i).unwrap_or(0), r))
     }
 
-    /// Enters the gate, at once or after a wait that leaves time for the work.
+    /// Admits a request, at once or after waiting in the queue.
+    ///
+    /// # Errors
+    /// Returns a refusal if the request cannot be admitted early enough to be executed in time.
     pub(crate) async fn admit(
         self: &Rc<Self>,
         team: &str,
@@ -152,7 +155,7 @@
         }
     }
 
-    /// Refuses waiting requests whose time no longer suffices.
+    /// Refuses waiting requests whose remaining time no longer suffices.
     pub(crate) fn expire_waiters(&self, now_ms: u64) {
         let resolved = self.admission.borrow_mut().expire(now_ms);
         self.resolve(resolved);
@@ -171,15 +174,15 @@
     }
 }
 
-/// When a request that ran out of time while waiting should come back.
+/// Retry delay suggested to callers whose request timed out in the queue.
 const QUEUE_TIMEOUT_RETRY_AFTER_MS: u64 = 100;
 
-/// Whether this instance holds connections to any replica of a shard.
+/// Returns true if this instance may connect to any replica of a shard.
 pub(crate) fn has_connections(replicas: &[Rc<Replica>]) -> bool {
     replicas.iter().any(|r| r.limit(ConnectionKind::Query) > 0)
 }
 
-/// A waiting request; dropped early it leaves the queue.
+/// A waiting request; dropping it early removes it from the queue.
 struct WaitGuard {
     service: Rc<ServiceState>,
     ticket: Ticket,
@@ -193,7 +196,7 @@
     }
 }
 
-/// A request inside the gate; dropping it lets the next one in.
+/// An admitted request; dropping it admits the next one.
 #[derive(Debug)]
 pub(crate) struct AdmissionGuard {
     service: Rc<ServiceState>,
@@ -205,7 +208,7 @@
 }
 
 impl AdmissionGuard {
-    /// Says how the request has ended.
+    /// Sets the outcome of the request for admission control.
     pub(crate) fn set_ending(&self, ending: Ending) {
         self.ending.set(ending);
     }
--- a/crates/eelgrasspier/src/shared.rs
+++ b/crates/eelgrasspier/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of one process share.
+//! State shared by the threads of the process.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -19,44 +19,44 @@
 use crate::timeline::Timeline;
 use crate::view::View;
 
-/// What traffic threads ask of the control thread.
+/// Request from a traffic thread to the control thread.
 #[derive(Debug)]
 pub(crate) enum ControlRequest {
-    /// Claim an idempotency key.
+    /// Claims an idempotency key.
     Claim {
         key: Key,
         nonce: Nonce,
         until: Instant,
         reply: oneshot::Sender<Result<Outcome, ClaimError>>,
     },
-    /// Give back the claim of an attempt that surely never sent anything.
+    /// Releases the claim of an attempt that certainly sent nothing.
     Release { key: Key, nonce: Nonce },
-    /// A backend server says that it is leaving.
+    /// Reports that a backend server announced that it is leaving.
     ServerLeaving(Server),
-    /// Submit an edit of the operators' text.
+    /// Submits an edit of the operators' text.
     Submit { submitted: Submitted, reply: oneshot::Sender<SubmitAnswer> },
-    /// Show the text in force.
+    /// Returns the text in force.
     Text { reply: oneshot::Sender<Option<ShownText>> },
-    /// Status of all instances.
+    /// Returns the status of all instances.
     Status { reply: oneshot::Sender<Vec<InstanceStatus>> },
-    /// Events of all instances.
+    /// Returns the events of all instances.
     Timeline { about: String, from_stamp: u64, reply: oneshot::Sender<Vec<TimelineEntry>> },
-    /// Something was found out of a request that ends backend servers.
+    /// Sends a report about a request that crashes backend servers to other instances.
     SendReport(Report),
-    /// A planned stop begins.
+    /// Begins a planned stop.
     BeginStop,
-    /// Connections are let go: tell the others and end.
+    /// Announces to the other instances that all connections are closed.
     AnnounceLeft { reply: oneshot::Sender<()> },
 }
 
-/// Parts that another instance asks for.
+/// Request for parts from another instance.
 #[derive(Debug)]
 pub(crate) struct PartsRequest {
     pub(crate) parts: Parts,
     pub(crate) reply: oneshot::Sender<PartsDone>,
 }
 
-/// What the threads of one process share.
+/// State shared by the threads of the process.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
@@ -65,29 +65,30 @@
     pub(crate) view: ArcSwap<View>,
     pub(crate) timeline: Timeline,
     pub(crate) control: mpsc::UnboundedSender<ControlRequest>,
-    /// Traffic threads that know a snapshot of every service.
+    /// Number of traffic threads that have complete snapshots or no longer wait for them.
     pub(crate) warm_threads: AtomicUsize,
-    /// Snapshot in use of each service.
+    /// Index version in use by each service.
     pub(crate) snapshots: Mutex<BTreeMap<String, u64>>,
-    /// Traffic threads that gather parts for other instances.
+    /// Channels to the traffic threads that gather parts for other instances.
     pub(crate) parts_senders: Mutex<Vec<mpsc::UnboundedSender<PartsRequest>>>,
-    /// Requests that end backend servers.
+    /// Quarantine of requests that crash backend servers.
     pub(crate) quarantine: QuarantineState,
 }
 
 impl Shared {
-    /// Milliseconds since this process started.
+    /// Returns the time since the process started, in milliseconds.
     pub(crate) fn now_ms(&self) -> u64 {
         u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Whether a balancer may send callers here.
+    /// Returns true if a load balancer may send callers to this instance.
     pub(crate) fn is_ready(&self) -> bool {
         let warm = self.warm_threads.load(Ordering::Acquire);
         warm >= self.settings.traffic_threads && self.view.load().is_ready()
     }
 
-    /// Asks the control thread and waits; `None` if it is gone.
+    /// Sends a request to the control thread and waits for the reply; `None` if the thread has
+    /// ended.
     pub(crate) async fn call_control<T>(
         &self,
         build: impl FnOnce(oneshot::Sender<T>) -> ControlRequest,
@@ -97,7 +98,7 @@
         answer.await.ok()
     }
 
-    /// Notes the snapshot that a service is answered from; returns whether it is new.
+    /// Records the index version in use by a service; returns true if it changed.
     pub(crate) fn record_snapshot(&self, service: &str, version: u64) -> bool {
         let mut snapshots = self.snapshots.lock().unwrap_or_else(PoisonError::into_inner);
         if snapshots.get(service) == Some(&version) {
@@ -107,7 +108,7 @@
         true
     }
 
-    /// The traffic thread that gathers parts for another instance.
+    /// Returns the channel to the traffic thread chosen by `selector`.
     pub(crate) fn parts_sender(
         &self,
         selector: u64,
@@ -118,5 +119,5 @@
     }
 }
 
-/// The shared state, as each thread holds it.
+/// Reference to the shared state, as held by each thread.
 pub(crate) type SharedRef = Arc<Shared>;
--- a/crates/eelgrasspier/src/traffic.rs
+++ b/crates/eelgrasspier/src/traffic.rs
@@ -1,4 +1,4 @@
-//! One traffic thread: its replicas, services and connections.
+//! State of one traffic thread: its replicas, services and connections.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,31 +23,31 @@
 use crate::shared::{ControlRequest, SharedRef};
 use crate::view::View;
 
-/// Time in which a connection to a backend server must be set up.
+/// Timeout for opening a connection to a backend server.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time in which a probe must be answered.
+/// Timeout for the answer to a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between two rounds of upkeep.
+/// Time between two maintenance rounds.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
-/// Rounds of upkeep for which missing snapshots hold up readiness.
+/// Maximum number of maintenance rounds for which missing snapshots delay readiness.
 const MAX_WARMUP_ROUNDS: u32 = 12;
-/// Silence of a replica in milliseconds after which it is probed.
+/// Time in milliseconds without contact after which a replica is probed.
 const PROBE_AFTER_SILENCE_MS: u64 = 1_500;
 
-/// The state of one traffic thread.
+/// State of one traffic thread.
 pub(crate) struct TrafficThread {
     pub(crate) shared: SharedRef,
     pub(crate) links: Links,
     pub(crate) view: RefCell<Arc<View>>,
-    /// Wakes parts that wait for a free connection.
+    /// Wakes tasks that wait for a free connection.
     pub(crate) connection_freed: Rc<Notify>,
     thread_index: u32,
     exchanger: RefCell<Rc<dyn Exchanger>>,
     replicas: RefCell<HashMap<u64, Rc<Replica>>>,
     services: RefCell<HashMap<String, Rc<ServiceState>>>,
-    /// Upkeep rounds since there is a text, until every service has a snapshot.
+    /// Maintenance rounds spent waiting for snapshots; `None` once this thread counts as warm.
     warmup_rounds: Cell<Option<u32>>,
-    /// Moves whenever a snapshot may have to be chosen anew.
+    /// Incremented whenever snapshots must be selected again.
     snapshot_epoch: Cell<u64>,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl TrafficThread {
-    /// Starts a traffic thread's state on the thread that calls it.
+    /// Creates the state of the calling thread and starts its background tasks.
     pub(crate) fn start(shared: SharedRef) -> Rc<Self> {
         let (parts_sender, parts_requests) = mpsc::unbounded_channel();
         let thread_index = {
@@ -85,7 +85,7 @@
         traffic
     }
 
-    /// The service of that name in the latest view.
+    /// Returns the service with this name in the latest view.
     pub(crate) fn service(self: &Rc<Self>, name: &str) -> Option<Rc<ServiceState>> {
         self.refresh_view();
         self.services.borrow().get(name).cloned()
@@ -95,7 +95,7 @@
         Rc::clone(&self.exchanger.borrow())
     }
 
-    /// The newest complete snapshot, or the fullest one.
+    /// Returns the newest complete snapshot, or else the one with the most reachable shards.
     pub(crate) fn choose_snapshot(&self, service: &ServiceState) -> Option<Snapshot> {
         let view = self.view.borrow();
         let services = self.services.borrow();
@@ -112,13 +112,13 @@
         service.catalogue(epoch, &view.leaving).choose(&dependencies)
     }
 
-    /// The snapshot at a version that the caller asks for.
+    /// Returns the snapshot at the version requested by the caller.
     pub(crate) fn snapshot_at(&self, service: &ServiceState, version: u64) -> Option<Snapshot> {
         let view = self.view.borrow();
         service.catalogue(self.snapshot_epoch.get(), &view.leaving).at(version)
     }
 
-    /// Takes in the end of an exchange.
+    /// Updates load, latency and health of the replica after an exchange.
     pub(crate) fn on_exchange_completed(
         &self,
         service: &ServiceState,
@@ -137,8 +137,8 @@
                 self.apply_report(replica, report);
                 replica.load.borrow_mut().failed(now_ms);
             }
-            // Time ran out: that may say more about the deadline than the replica.
-            // Whether it is down, the probes find out.
+            // A timeout may be due to a short deadline, so it is not counted as a failed contact.
+            // Probes detect whether the replica is down.
             Err(PartFailure::TimedOut) => {
                 let took_us = u64::try_from(completed.took.as_micros()).unwrap_or(u64::MAX);
                 replica.load.borrow_mut().outrun(took_us, now_ms);
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Takes in the latest view, if it is new.
+    /// Applies the latest view if it is new.
     fn refresh_view(self: &Rc<Self>) {
         let latest = self.shared.view.load_full();
         if latest.serial == self.view.borrow().serial {
@@ -183,8 +183,8 @@
         *self.view.borrow_mut() = latest;
         self.snapshot_epoch.set(self.snapshot_epoch.get() + 1);
         if has_shrunk {
-            // Idle connections beyond the share close with the old pool, so that
-            // another instance can grow into them.
+            // Dropping the old pool closes idle connections beyond the share, so that another
+            // instance can use them.
             *self.exchanger.borrow_mut() = Rc::new(HttpExchanger::new(CONNECT_TIMEOUT));
         }
         self.open_connections(has_shrunk);
@@ -215,7 +215,9 @@
         ServiceState::new(spec, shards.collect())
     }
 
-    /// The replica as known, so that a new text forgets nothing that still holds.
+    /// Returns the existing replica, or a new one.
+    ///
+    /// Reuse keeps load and health information across changes of the text.
     fn reuse_or_create_replica(&self, spec: &ReplicaSpec) -> Rc<Replica> {
         let known = self.replicas.borrow().get(&spec.id).cloned();
         let is_near = spec.zone == self.shared.settings.zone;
@@ -224,7 +226,7 @@
         })
     }
 
-    /// Sets each replica's connections; returns whether any has fewer than before.
+    /// Sets the connection limits of all replicas; returns true if any limit was lowered.
     fn set_limits(&self, view: &View) -> bool {
         let mut has_shrunk = false;
         for service in self.services.borrow().values() {
@@ -242,7 +244,9 @@
         has_shrunk
     }
 
-    /// This thread's part of the process's share; threads differ by at most one.
+    /// Returns this thread's part of the process's connection share.
+    ///
+    /// The parts of two threads differ by at most one.
     fn thread_share(&self, share: u32, replica: u64) -> u32 {
         let threads = u32::try_from(self.shared.settings.traffic_threads).unwrap_or(1).max(1);
         let offset = u32::try_from(replica % u64::from(threads)).unwrap_or(0);
@@ -250,7 +254,7 @@
         share / threads + u32::from(position < share % threads)
     }
 
-    /// Opens connections before requests need them.
+    /// Opens connections by probing, before requests need them.
     fn open_connections(self: &Rc<Self>, is_pool_new: bool) {
         for replica in self.replicas.borrow().values() {
             if is_pool_new || replica.last_contact_ms().is_none() {
@@ -276,8 +280,8 @@
 
     /// Counts this thread as warm once every service has a complete snapshot.
     ///
-    /// Callers sent here before would be refused for want of one. A service whose
-    /// servers stay away must not hold up the others for long.
+    /// Before that, queries would be refused for lack of a snapshot. The number of rounds is
+    /// limited so that a service with unreachable servers cannot block the others.
     fn update_warmup(&self) {
         let Some(rounds) = self.warmup_rounds.get() else { return };
         if !self.view.borrow().is_ready() {
@@ -316,7 +320,7 @@
         }
     }
 
-    /// Backend servers that are leaving, as control knows them.
+    /// Returns true if new work may be sent to the replica.
     pub(crate) fn accepts_work(&self, replica: &Replica) -> bool {
         let view = self.view.borrow();
         let leaving: &Leaving = &view.leaving;
--- a/crates/eelgrasspier/src/view.rs
+++ b/crates/eelgrasspier/src/view.rs
@@ -1,4 +1,4 @@
-//! The immutable view of control state that traffic threads work from.
+//! Immutable view of the control state for the traffic threads.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,52 +8,52 @@
 use eelgrasspier_decide::prelude::{ConfigVersion, Services};
 use eelgrasspier_decide::share;
 
-/// Another instance, as traffic threads need it.
+/// Another instance, as seen by traffic threads.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Key in member lists.
+    /// Key of the instance in member lists.
     pub key: u64,
-    /// Where it takes peer connections.
+    /// Address for peer connections.
     pub addr: SocketAddr,
-    /// Whether it was heard to be ready.
+    /// True if the instance announced that it is ready.
     pub is_ready: bool,
 }
 
-/// One state of control, published as a whole.
+/// Control state, published as a whole.
 #[derive(Debug, Clone, Default)]
 pub struct View {
-    /// Counts up with each view.
+    /// Serial number, incremented with each view.
     pub serial: u64,
-    /// Version of the text in force; `None` before there is one.
+    /// Version of the text in force; `None` if there is none yet.
     pub version: Option<ConfigVersion>,
-    /// The services of that text.
+    /// Services defined by that text.
     pub services: Arc<Services>,
     /// Key of this instance in member lists.
     pub own_key: u64,
-    /// Member lists that bound the share of connections.
+    /// Member lists that limit the connection shares.
     pub bounds: Vec<Vec<u64>>,
     /// Backend servers that are leaving.
     pub leaving: Leaving,
-    /// The other live instances that are not leaving.
+    /// Other live instances that are not leaving.
     pub peers: Vec<Peer>,
-    /// What this instance says of itself.
+    /// State that this instance announces.
     pub state: State,
 }
 
 impl View {
-    /// Connections that this process may hold to `replica`.
+    /// Returns the number of connections this process may open to `replica`.
     #[must_use]
     pub fn connection_share(&self, replica: u64, limit: u32) -> u32 {
         share::share_within(&self.bounds, self.own_key, replica, limit)
     }
 
-    /// Whether callers can be served.
+    /// Returns true if the instance can serve callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.state == State::Ready
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns true if a planned stop has begun.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.state >= State::Leaving
