--- a/crates/eelgrasspier/src/control/claims.rs
+++ b/crates/eelgrasspier/src/control/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on behalf of traffic threads, by way of each bucket's usual owner.
+//! Claims for traffic threads, routed through the usual owner of each bucket.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,16 +11,16 @@
 
 use super::Control;
 
-/// Buckets have owners under this name.
+/// Name that enters the hash of bucket owners.
 const OWNER_HASH_NAME: &str = "claims";
-/// Bits in the lower half of a key.
+/// Number of bits in the lower half of a key.
 const HALF_BITS: u32 = 64;
 
 impl Control {
-    /// Claims a key: by the bucket's usual owner, or directly where that fails.
+    /// Claims a key through the bucket's usual owner, or directly if that fails.
     ///
-    /// Ownership only makes batches large. Both ways end in the same conditional
-    /// update, and the nonce is the same, so it can't be granted twice.
+    /// Ownership only serves to batch claims. Both paths end in the same conditional update with
+    /// the same nonce, so a key cannot be granted twice.
     pub(super) async fn claim(
         &self,
         key: Key,
@@ -36,12 +36,12 @@
         self.claims.claim(key, nonce, until).await
     }
 
-    /// The instance that owns the key's bucket; `None` if it is this one.
+    /// Returns the address of the instance that owns the key's bucket; `None` if it is this one.
     fn key_owner(&self, key: Key) -> Option<SocketAddr> {
         self.bucket_owner(eelgrasspier_store::bucket_of(key))
     }
 
-    /// Whether this instance is the usual owner of a bucket.
+    /// Returns true if this instance is the usual owner of the bucket.
     pub(super) fn owns_bucket(&self, bucket: usize) -> bool {
         self.bucket_owner(bucket).is_none()
     }
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Claims a key that another instance asks for.
+    /// Claims a key on behalf of another instance.
     pub(super) async fn claim_for_peer(&self, claim: Claim) -> Claimed {
         let key = Key((u128::from(claim.key_high) << HALF_BITS) | u128::from(claim.key_low));
         let until = Instant::now() + Duration::from_millis(claim.time_left_ms);
--- a/crates/eelgrasspier/src/control/gauges.rs
+++ b/crates/eelgrasspier/src/control/gauges.rs
@@ -1,17 +1,17 @@
-//! What the control thread shows of its state in the metrics.
+//! Metrics gauges of the control thread.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use super::Control;
 
-/// Time between two updates.
+/// Time between two updates of the gauges.
 const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
-/// Processor time of the calling thread, in nanoseconds, as the first field.
+/// Scheduler statistics of the calling thread; the first field is its CPU time in nanoseconds.
 const SCHEDSTAT_PATH: &str = "/proc/thread-self/schedstat";
 
 impl Control {
-    /// Keeps the gauges up to date for as long as the thread runs.
+    /// Updates the gauges periodically for as long as the thread runs.
     pub(super) async fn run_gauge_updates(self: Rc<Self>) {
         loop {
             self.set_gauges();
@@ -39,7 +39,7 @@
     metrics::gauge!(name).set(value as f64);
 }
 
-/// Processor time that this thread has used, where the system tells.
+/// Returns the CPU time used by the calling thread, or `None` if it is not available.
 fn thread_cpu_time() -> Option<Duration> {
     let text = std::fs::read_to_string(SCHEDSTAT_PATH).ok()?;
     text.split_whitespace().next()?.parse().ok().map(Duration::from_nanos)
--- a/crates/eelgrasspier/src/control/members.rs
+++ b/crates/eelgrasspier/src/control/members.rs
@@ -1,4 +1,4 @@
-//! Gossip, the platform's list, and the shares that follow from both.
+//! Gossip, the platform's instance list, and the connection shares derived from both.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -13,19 +13,19 @@
 use super::Control;
 use crate::event;
 
-/// Time between two looks at what is due.
+/// Time between two ticks of the membership timers.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Pause of the control thread after which its shares are no longer trusted.
+/// Pause of the control thread after which it gives up its connection shares.
 ///
-/// The others take a silent instance for dead after a few seconds; once the
-/// platform no longer lists it either they grow into its share.
+/// Other instances declare a silent instance dead after a few seconds. They take over its share
+/// once the platform no longer lists it.
 const MAX_PAUSE: Duration = Duration::from_secs(4);
-/// Least time between two reads of the platform's list.
+/// Minimum time between two reads of the platform's instance list.
 const MIN_LIST_INTERVAL: Duration = Duration::from_secs(3);
-/// Time between reads for each instance, so that the fleet's rate stays at 20/s.
+/// Time between reads per live instance, which keeps the rate of all instances at 20/s.
 const LIST_INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(50);
 
-/// Pause between reads while the list does not show this instance yet.
+/// Time between reads while the list does not contain this instance yet.
 const UNLISTED_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 pub(super) async fn receive_datagrams(
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Gives up all shares after a pause in which others may have taken them.
+    /// Gives up all connection shares after a pause in which others may have taken them over.
     fn check_pause(&self) {
         let paused = self.last_activity.replace(Instant::now()).elapsed();
         if paused < MAX_PAUSE {
@@ -69,7 +69,7 @@
         self.publish();
     }
 
-    /// Lets the next look draw all conclusions anew, though no record has changed.
+    /// Makes the next refresh process the membership even if no record has changed.
     pub(super) fn force_refresh(&self) {
         self.processed_epoch.set(u64::MAX);
     }
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Draws the conclusions from what has changed among the members.
+    /// Processes membership changes: records events, updates shares and fetches newer texts.
     fn refresh(self: &Rc<Self>) {
         let changes = self.membership.borrow_mut().take_changes();
         let has_changes = !changes.is_empty();
@@ -114,7 +114,7 @@
 
     fn on_member_change(&self, change: Change) {
         match change {
-            // Seen in the next view; not worth an event.
+            // The next view contains the new state; no event is recorded.
             Change::State(_) => {}
             Change::Reported(report) => self.shared.apply_peer_report(&report),
             Change::Joined(name) => self.record(event::MEMBER_JOINED, &name, ""),
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Takes the members into the share agreement; returns whether shares moved.
+    /// Updates the share agreement from the members; returns true if shares changed.
     fn update_agreement(&self) -> bool {
         if !self.can_agree() {
             return false;
@@ -147,24 +147,28 @@
             let about = &self.shared.settings.name;
             let lists = agreement.bounds();
             let sizes: Vec<String> = lists.iter().map(|l| l.len().to_string()).collect();
-            self.record(event::SHARE_CHANGED, about, &format!("of {}", sizes.join(", ")));
+            self.record(
+                event::SHARE_CHANGED,
+                about,
+                &format!("member counts {}", sizes.join(", ")),
+            );
         }
         has_moved
     }
 
-    /// Whether this instance can be sure to know of someone who holds connections.
+    /// Returns true if this instance certainly knows an instance that holds connections, if any
+    /// does.
     ///
-    /// When many instances start at once, the lagging list is empty at first, and
-    /// each would agree with itself alone and take every connection; one would notice
-    /// more connections at a replica than it allows. Of two instances that each see
-    /// themselves listed, the later one sees the earlier. In an outage of the
-    /// platform a peer that is ready knows the others.
+    /// When many instances start at once, the instance list lags and is empty at first. Each
+    /// instance would then agree with itself alone and claim all connections, exceeding the limit
+    /// of a replica. Of two instances that both see themselves in the list, the later one also sees
+    /// the earlier one. During an outage of the platform, a peer that is ready knows the others.
     fn can_agree(&self) -> bool {
         let membership = self.membership.borrow();
         self.is_listed.get() || membership.alive().any(|m| m.state() == State::Ready)
     }
 
-    /// Notes and spreads that a backend server is leaving.
+    /// Records that a backend server is leaving and announces it to the other instances.
     pub(super) fn on_server_leaving(&self, server: Server) {
         let is_new = self.leaving.borrow_mut().note(server, self.shared.now_ms());
         if !is_new {
@@ -184,7 +188,7 @@
         known.map_or_else(|| format!("{replica:x}"), |r| r.addr.to_string())
     }
 
-    /// Reads the platform's list of instances, more rarely the more there are.
+    /// Polls the platform's instance list; the interval grows with the number of instances.
     pub(super) async fn poll_instance_list(self: Rc<Self>) {
         loop {
             let read = self.store.instances().await;
@@ -210,14 +214,14 @@
         }
     }
 
-    /// Has what a restored platform lacks written again.
+    /// Rewrites data missing from the platform's store after it was restored from a copy.
     fn check_era(&self) {
         let era = self.store.era();
         let before = self.last_era.replace(era);
         if before == era {
             return;
         }
-        self.record(event::RESTORED, &format!("era {era}"), &format!("before {before}"));
+        self.record(event::RESTORED, &format!("era {era}"), &format!("previous era {before}"));
         self.restored.notify_waiters();
         for bucket in (0..eelgrasspier_store::BUCKETS).filter(|bucket| self.owns_bucket(*bucket)) {
             self.claims.settle(bucket);
@@ -233,7 +237,7 @@
         interval.mul_f64(rand::random_range(0.75..1.25))
     }
 
-    /// Records when the platform stops or starts answering.
+    /// Records an event when the platform stops or starts answering.
     pub(super) fn record_platform_state(&self, is_up: bool) {
         if self.is_platform_up.replace(is_up) != is_up {
             let event = if is_up { event::PLATFORM_UP } else { event::PLATFORM_DOWN };
--- a/crates/eelgrasspier/src/control/mod.rs
+++ b/crates/eelgrasspier/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control thread: membership, configuration, shares and claims.
+//! The control thread: membership, configuration, connection shares and claims.
 
 mod claims;
 mod gauges;
@@ -27,12 +27,12 @@
 use crate::shared::{ControlRequest, SharedRef};
 use crate::view::{Peer, View};
 
-/// Instances that are told of a stop or a finding at once; gossip tells the rest.
+/// Number of instances that receive a stop or a report directly; gossip informs the others.
 const MAX_DIRECT_SENDS: usize = 16;
-/// Time for which the last datagrams may travel.
+/// Time for the last datagrams to be sent before the process exits.
 const DATAGRAM_FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// The state of the control thread.
+/// State of the control thread.
 pub(crate) struct Control {
     shared: SharedRef,
     store: Rc<dyn ObjectStore>,
@@ -42,7 +42,7 @@
     agreement: RefCell<Agreement>,
     in_force: RefCell<InForce>,
     services: RefCell<Arc<Services>>,
-    /// The stored object in force, to be handed to other instances.
+    /// Stored text object in force, sent to other instances on request.
     stored: RefCell<Option<bytes::Bytes>>,
     leaving: RefCell<Leaving>,
     outbox: mpsc::UnboundedSender<Send>,
@@ -51,21 +51,21 @@
     last_activity: Cell<Instant>,
     is_fetching: Cell<bool>,
     is_platform_up: Cell<bool>,
-    /// The platform's era as of the last look.
+    /// Era of the platform at the last check; it changes when the platform is restored.
     last_era: Cell<u64>,
-    /// Wakes the text's watcher after a restore of the platform.
+    /// Wakes the text watcher after the platform was restored.
     restored: Notify,
-    /// Whether another instance that serves was asked for its text.
+    /// True once the text of another ready instance was fetched.
     is_confirmed: Cell<bool>,
-    /// The members' epoch from which conclusions were last drawn.
+    /// Membership epoch that was last processed.
     processed_epoch: Cell<u64>,
-    /// Whether the platform's list has shown this instance.
+    /// True once the platform's instance list contains this instance.
     is_listed: Cell<bool>,
-    /// Wakes the text's watcher when its duties may have changed.
+    /// Wakes the text watcher when the choice of watching instances may have changed.
     watch_roles_changed: Notify,
 }
 
-/// What the control thread serves.
+/// Listener and addresses of this instance.
 pub(crate) struct Sockets {
     pub(crate) listener: TcpListener,
     pub(crate) peer_addr: std::net::SocketAddr,
@@ -73,7 +73,10 @@
 }
 
 impl Control {
-    /// Starts all of control on the thread that calls it.
+    /// Creates the control state on the calling thread and starts its tasks.
+    ///
+    /// # Errors
+    /// Fails if the gossip socket cannot be bound.
     pub(crate) async fn start(
         shared: SharedRef,
         sockets: Sockets,
@@ -142,7 +145,7 @@
                     });
                 }
                 ControlRequest::Text { reply } => {
-                    // Whoever asked may have gone; then nobody wants the answer.
+                    // The receiver may have been dropped; then the answer is discarded.
                     let _send_failed = reply.send(self.text_in_force()).is_err();
                 }
                 ControlRequest::Status { reply } => {
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Tells others what was found out of a request that ends backend servers.
+    /// Sends a report about a request that crashes backend servers to other instances.
     fn send_report(&self, report: Report) {
         let limits = (MAX_DIRECT_SENDS, MAX_DIRECT_SENDS);
         let now_ms = self.shared.now_ms();
@@ -179,7 +182,7 @@
         }
     }
 
-    /// Tells the others that all connections are let go, so that they may grow.
+    /// Announces that all connections are closed, so that other instances can use the freed share.
     fn announce_left(&self, reply: oneshot::Sender<()>) {
         self.set_state(State::Left);
         for send in self.membership.borrow_mut().farewell(
@@ -195,7 +198,7 @@
         });
     }
 
-    /// Publishes the present state to the traffic threads.
+    /// Publishes the current state to the traffic threads.
     fn publish(&self) {
         if self.state.get() == State::Starting && self.can_serve() {
             self.state.set(State::Ready);
@@ -216,11 +219,11 @@
         self.shared.view.store(Arc::new(view));
     }
 
-    /// Whether a starting instance has all that it needs to serve callers.
+    /// Returns true if a starting instance has all that it needs to serve callers.
     ///
-    /// The platform may answer with an old version. Members announce the version
-    /// that they have in force, and a share is agreed on only once all of them were
-    /// heard: whoever serves has the newest version that any of them knew.
+    /// The platform may return an old version of the text. Members announce the version that they
+    /// have in force, and a share is agreed on only after a message from each of them, so a ready
+    /// instance has the newest version known to any member.
     fn can_serve(&self) -> bool {
         let membership = self.membership.borrow();
         if membership.alive().any(|m| self.needs_confirmation_from(m)) {
--- a/crates/eelgrasspier/src/control/peers.rs
+++ b/crates/eelgrasspier/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Answers to the questions of other instances.
+//! Answers to requests from other instances.
 
 use bytes::Bytes;
 use eelgrasspier_peer::wire::{Body, Parts, Text};
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Hands parts that another instance asks for to a traffic thread.
+    /// Forwards a request for parts from another instance to a traffic thread.
     async fn forward_parts(&self, parts: Parts) -> Body {
         let (reply, answer) = oneshot::channel();
         if let Some(parts_sender) = self.shared.parts_sender(rand::random()) {
--- a/crates/eelgrasspier/src/control/status.rs
+++ b/crates/eelgrasspier/src/control/status.rs
@@ -1,4 +1,4 @@
-//! State and events of all instances, gathered by any one of them.
+//! State and events of all instances, collected by any one of them.
 
 use std::net::SocketAddr;
 use std::sync::PoisonError;
@@ -13,9 +13,9 @@
 
 use super::Control;
 
-/// Time in which another instance must answer.
+/// Timeout for the answer of another instance.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Instances that are asked at a time.
+/// Maximum number of instances queried concurrently.
 const MAX_CONCURRENT_REQUESTS: usize = 64;
 
 impl Control {
@@ -38,7 +38,9 @@
         }
     }
 
-    /// The state of every known instance; those that don't answer are named so.
+    /// Returns the state of every known instance.
+    ///
+    /// Instances that do not answer are listed as `unreachable`.
     pub(super) async fn all_status(&self) -> Vec<InstanceStatus> {
         let others: Vec<Member> = self.membership.borrow().alive().cloned().collect();
         let requests = others.iter().map(|member| async move {
@@ -52,7 +54,7 @@
         all
     }
 
-    /// The events of every live instance, in the order of their stamps.
+    /// Returns the events of every live instance, ordered by stamp.
     pub(super) async fn all_events(&self, about: &str, from_stamp: u64) -> Vec<TimelineEntry> {
         let others: Vec<Member> = self.membership.borrow().alive().cloned().collect();
         let requests = others.iter().map(|member| {
--- a/crates/eelgrasspier/src/control/text.rs
+++ b/crates/eelgrasspier/src/control/text.rs
@@ -1,4 +1,4 @@
-//! The operators' text: following it, handing it on, submitting edits.
+//! The operators' text: watching, distributing and submitting it.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -19,26 +19,25 @@
 use super::Control;
 use crate::event;
 
-/// Watchers of the platform in each availability zone.
+/// Number of instances per availability zone that watch the platform.
 const WATCHERS_PER_ZONE: usize = 2;
-/// Length of one watch in milliseconds.
+/// Duration of one watch in milliseconds.
 const WATCH_DURATION_MS: u64 = 20_000;
-/// Least time between two polls of an instance that does not watch.
+/// Minimum time between two polls of an instance that does not watch.
 const MIN_POLL_INTERVAL: Duration = Duration::from_secs(20);
-/// Time between polls for each instance, so that the fleet's rate stays at 10/s.
+/// Time between polls per live instance, which keeps the rate of all instances at 10/s.
 const POLL_INTERVAL_PER_INSTANCE: Duration = Duration::from_millis(100);
-/// Shortest and longest pause after a failed read, in milliseconds.
+/// Minimum and maximum backoff after a failed read, in milliseconds.
 const BACKOFF_RANGE_MS: (u64, u64) = (100, 3_000);
-/// Time in which another instance must hand over its text.
+/// Timeout for fetching the text from another instance.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time over which instances spread that write the text again to a restored platform, in
-/// milliseconds.
+/// Maximum jitter in milliseconds before an instance rewrites the text to a restored platform.
 const MAX_REWRITE_JITTER_MS: u64 = 500;
-/// Time for which a submission is tried.
+/// Time for which a submission is retried.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Control {
-    /// Follows the text on the platform for as long as the thread runs.
+    /// Watches or polls the text on the platform for as long as the thread runs.
     pub(super) async fn follow_text(self: Rc<Self>) {
         let mut backoff = Backoff::new(BACKOFF_RANGE_MS.0, BACKOFF_RANGE_MS.1);
         let mut is_first = true;
@@ -71,7 +70,7 @@
         }
     }
 
-    /// Whether this instance is one of its zone's few that watch the platform.
+    /// Returns true if this instance is one of those in its zone that watch the platform.
     fn is_watcher(&self) -> bool {
         let membership = self.membership.borrow();
         let own = membership.own();
@@ -82,7 +81,7 @@
         rendezvous::is_in_top(key, own.key(), &keys, WATCHERS_PER_ZONE)
     }
 
-    /// Waits for the next poll, or until this instance may have become a watcher.
+    /// Waits until the next poll is due or this instance becomes a watcher.
     async fn wait_for_poll(&self) {
         let count = u32::try_from(self.membership.borrow().alive_count()).unwrap_or(u32::MAX);
         let pause = MIN_POLL_INTERVAL.max(POLL_INTERVAL_PER_INSTANCE.saturating_mul(count));
@@ -95,7 +94,7 @@
         }
     }
 
-    /// Puts a stored text in force, if it is newer than the one that is.
+    /// Puts a stored text in force if it is newer than the current one.
     pub(super) fn apply_text(&self, version: u64, value: Bytes, source: &str) -> Offered {
         if self.in_force.borrow().version() == Some(version) {
             return Offered::Known;
@@ -117,13 +116,13 @@
             Offered::Taken { lost } => self.record_lost_edits(lost, &about),
             Offered::Known => {
                 if before > Some(version) {
-                    let detail = format!("from {source}, in force {before:?}");
+                    let detail = format!("from {source}, version in force {before:?}");
                     self.record(event::TEXT_STALE, &about, &detail);
                 }
                 return offered;
             }
             Offered::Outdated => {
-                let detail = format!("from {source}, in force {before:?}: to be written again");
+                let detail = format!("from {source}, version in force {before:?}; rewriting it");
                 self.record(event::TEXT_STALE, &about, &detail);
                 return offered;
             }
@@ -137,46 +136,46 @@
         offered
     }
 
-    /// Tells of accepted edits that a text is not made from, with who submitted them.
+    /// Records each accepted edit that is missing from a text, with its submitter.
     fn record_lost_edits(&self, lost: &[u64], about: &str) {
         let stored = self.stored.borrow().clone().and_then(|s| StoredText::decode(s).ok());
         let edits = stored.map(|s| s.edits).unwrap_or_default();
         for edit in edits.iter().filter(|e| lost.contains(&e.edit_id)) {
             let detail = format!(
-                "of {}, accepted before a restore of the platform, not in {about}",
+                "submitted by {}, accepted before the platform was restored, missing from {about}",
                 edit.submitter
             );
             self.record(event::EDIT_LOST, &edit.edit_id.to_string(), &detail);
         }
     }
 
-    /// Writes the text in force over the older one of a restored platform.
+    /// Overwrites the older text of a restored platform with the text in force.
     ///
-    /// Several may try at once: the condition lets one of them through.
+    /// Several instances may try at once; the conditional update lets only one of them succeed.
     async fn rewrite_text(&self, stored_version: u64) {
         let jitter_ms = rand::random_range(0..MAX_REWRITE_JITTER_MS);
         tokio::time::sleep(Duration::from_millis(jitter_ms)).await;
         let Some(value) = self.stored.borrow().clone() else { return };
         match self.store.update(TEXT_OBJECT, Some(stored_version), value.clone()).await {
             Ok(version) => {
-                self.apply_text(version, value, "written again");
+                self.apply_text(version, value, "rewrite after restore");
             }
             Err(error) => self.record(
                 event::TEXT_STALE,
                 &format!("version {}", Position::from_number(stored_version)),
-                &format!("not written again: {error}"),
+                &format!("rewrite failed: {error}"),
             ),
         }
     }
 
-    /// Fetches the text from a member that announces a newer one.
+    /// Fetches the text from the member that announces the newest version.
     pub(super) fn fetch_newer_text(self: &Rc<Self>) {
         let own = self.in_force.borrow().version().unwrap_or(0);
         let membership = self.membership.borrow();
         let is_wanted = |m: &&Member| m.config_version > own || self.needs_confirmation_from(m);
         let newest = membership.alive().filter(is_wanted).max_by_key(|m| m.config_version);
         let Some(member) = newest else { return };
-        // What is known here may be older, whatever its number.
+        // The local text may come from a restored platform and be older despite a higher version.
         let own = if member.config_version > own { own } else { 0 };
         let Ok(addr) = member.peer_addr.parse() else { return };
         if self.is_fetching.replace(true) {
@@ -197,14 +196,15 @@
                 tokio::time::sleep(Duration::from_millis(BACKOFF_RANGE_MS.0)).await;
             }
             control.is_fetching.set(false);
-            // Where the fetch failed or a newer text was announced meanwhile, the
-            // next look asks again; no record need change for that.
+            // If the fetch failed or a newer text was announced meanwhile, the next refresh fetches
+            // again, even if no membership record has changed.
             control.force_refresh();
         });
     }
 
-    /// Whether this instance starts and has not heard another that serves: a restored platform may
-    /// have an older text than the others have in force.
+    /// Returns true if this starting instance must confirm its text with `member`, which is ready.
+    ///
+    /// A restored platform may hold an older text than the one in force on the other instances.
     pub(super) fn needs_confirmation_from(&self, member: &Member) -> bool {
         let is_starting = self.state.get() == State::Starting && !self.is_confirmed.get();
         is_starting && member.state() == State::Ready && member.config_version > 0
@@ -216,7 +216,7 @@
         Some(ShownText { version: self.in_force.borrow().version()?, text })
     }
 
-    /// Submits an edit and finds out what became of it.
+    /// Submits an edit, retrying until its outcome is known or the timeout expires.
     pub(super) async fn submit(&self, submitted: Submitted) -> SubmitAnswer {
         if let Err(errors) = Services::try_from(submitted.text.as_str()) {
             return SubmitAnswer::Broken { errors: errors.to_string() };
@@ -239,7 +239,7 @@
         answer
     }
 
-    /// One read, and one conditional update where the edit is still open.
+    /// Reads the text once and updates it conditionally if the edit is still undecided.
     async fn try_submit(&self, submitted: &Submitted) -> Result<SubmitAnswer, String> {
         let read = self.store.read(TEXT_OBJECT).await.map_err(|e| e.to_string())?;
         let (version, mut stored) = match read {
@@ -248,7 +248,7 @@
                 let stored = StoredText::decode(value.clone()).map_err(|e| e.to_string())?;
                 if self.apply_text(version, value, "platform") == Offered::Outdated {
                     self.rewrite_text(version).await;
-                    return Err("the restored platform has an older text".to_owned());
+                    return Err("the restored platform holds an older text".to_owned());
                 }
                 (version, stored)
             }
@@ -275,7 +275,7 @@
                 self.apply_text(version, value, "submission");
                 Ok(SubmitAnswer::Accepted { version })
             }
-            // The next try reads again and finds the edit, or another one.
+            // The next attempt reads the text again and finds this edit or a different one.
             Err(UpdateError::Conflict) => Err("conflict".to_owned()),
             Err(error) => Err(error.to_string()),
         }
