--- a/crates/eelgrasspier/src/daemon.rs
+++ b/crates/eelgrasspier/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon's threads, serves until a stop, and stops gracefully.
+//! Starts the daemon's threads, serves until a stop signal arrives, and shuts down gracefully.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -24,9 +24,9 @@
 use crate::view::View;
 use crate::web;
 
-/// Ports that are tried where any free one will do for both TCP and UDP.
+/// Maximum number of ports tried to find one that is free for both TCP and UDP.
 const MAX_PORT_ATTEMPTS: usize = 50;
-/// Latencies that are measured; docs/METRICS.md lists them with the other metrics.
+/// Latency histograms; docs/METRICS.md lists them with the other metrics.
 const LATENCIES: &[Latency] = &[
     Latency {
         name: "eelgrasspier_query_seconds",
@@ -39,26 +39,26 @@
         labels: &[],
     },
 ];
-/// Largest body of an operator's request: the text, escaped as JSON.
+/// Maximum size of the body of an administration request: the text, escaped as JSON.
 const MAX_ADMIN_BODY_BYTES: usize = 4 << 20;
-/// Time for which an idle caller's connection is kept.
+/// Time after which an idle caller connection is closed.
 const CALLER_KEEP_ALIVE: Duration = Duration::from_secs(75);
 
-/// The daemon could not start or go on.
+/// Error that prevents the daemon from starting or continuing.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum StartError {
-    /// address can't be bound: {0}
+    /// cannot bind address: {0}
     Bind(#[source] io::Error),
-    /// metrics can't be set up: {0}
+    /// cannot set up metrics: {0}
     Metrics(#[source] TelemetryError),
-    /// the server failed: {0}
+    /// HTTP server failed: {0}
     Serve(#[source] io::Error),
 }
 
-/// Runs the daemon until it is told to stop.
+/// Runs the daemon until it receives a stop signal.
 ///
 /// # Errors
-/// Fails if an address can't be bound or the server breaks down.
+/// Fails if an address cannot be bound, metrics cannot be set up or the HTTP server fails.
 pub fn run(settings: Settings) -> Result<(), StartError> {
     let metrics = Page::install(LATENCIES).map_err(StartError::Metrics)?;
     actix_rt::System::new().block_on(serve(settings, metrics))
@@ -74,7 +74,7 @@
     let about = &shared.settings.name;
     let detail = format!("http {http_addr} peer {peer_addr}");
     shared.timeline.record(event::STARTED, about, &detail);
-    // One line for whoever started this process, with the ports that were picked.
+    // Prints the bound addresses, including ports picked by the system, for the parent process.
     println!("{{\"http\":\"{http_addr}\",\"peer\":\"{peer_addr}\"}}");
 
     let arbiter = actix_rt::Arbiter::new();
@@ -84,7 +84,9 @@
         let result = start_control(control_shared, peer, peer_addr, http_addr, requests).await;
         drop(started.send(result));
     });
-    let result = start_result.await.unwrap_or_else(|_| Err(io::Error::other("control ended")));
+    let result = start_result
+        .await
+        .unwrap_or_else(|_| Err(io::Error::other("control thread ended during startup")));
     result.map_err(StartError::Bind)?;
 
     let result = serve_http(http, Arc::clone(&shared), metrics).await;
@@ -123,9 +125,9 @@
     Control::start(shared, Sockets { listener, peer_addr, http_addr }, requests).await
 }
 
-/// Binds TCP where UDP is free too: peers use the same port for both.
+/// Binds a TCP port whose UDP port is free too; peers use the same port for both.
 fn bind_peer(addr: SocketAddr) -> io::Result<TcpListener> {
-    let mut last_error = io::Error::other("no port free for both TCP and UDP");
+    let mut last_error = io::Error::other("no port is free for both TCP and UDP");
     for _ in 0..MAX_PORT_ATTEMPTS {
         let listener = TcpListener::bind(addr)?;
         match UdpSocket::bind(listener.local_addr()?) {
@@ -163,7 +165,7 @@
     server.await
 }
 
-/// Not ready, but still serving: balancers need a moment to notice.
+/// Announces the stop and waits while still serving, until load balancers have noticed.
 async fn begin_stop(shared: &Shared) {
     shared.timeline.record(event::LEAVING, &shared.settings.name, "");
     drop(shared.control.send(ControlRequest::BeginStop));
@@ -175,7 +177,7 @@
     let (Ok(mut term), Ok(mut int)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
-        // Without signal handlers the system's default action ends the process.
+        // Without signal handlers, the default action of the system terminates the process.
         return std::future::pending().await;
     };
     tokio::select! {
--- a/crates/eelgrasspier/src/event.rs
+++ b/crates/eelgrasspier/src/event.rs
@@ -1,15 +1,15 @@
-//! The catalogue of numbered events; docs/EVENTS.md lists the same.
+//! Catalogue of numbered events; docs/EVENTS.md lists the same events.
 
 use log::Level;
 
-/// One kind of event.
+/// Kind of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Event {
-    /// Its number, which never changes its meaning.
+    /// Number of the event; its meaning never changes.
     pub number: u16,
-    /// Its level in the log.
+    /// Log level.
     pub level: Level,
-    /// What it says.
+    /// Title in the log and the time line.
     pub title: &'static str,
 }
 
@@ -19,51 +19,51 @@
 
 /// The process has started.
 pub const STARTED: Event = event(101, Level::Info, "process started");
-/// Callers are served from now on.
+/// The instance has started to serve callers.
 pub const READY: Event = event(102, Level::Info, "ready for callers");
 /// A planned stop has begun.
 pub const LEAVING: Event = event(103, Level::Info, "planned stop begun");
-/// All requests have ended and connections are let go.
+/// All requests have ended and all connections are closed.
 pub const LEFT: Event = event(104, Level::Info, "stopped");
-/// The control thread was paused for longer than its state stays valid.
+/// The control thread was paused for longer than its connection shares remain valid.
 pub const PAUSED: Event = event(105, Level::Warn, "was paused; shares given up");
-/// A configuration is in force on this instance.
+/// A text is in force on this instance.
 pub const TEXT_IN_FORCE: Event = event(201, Level::Info, "operators' text in force");
-/// An older text was offered and refused.
+/// An older text was received and refused.
 pub const TEXT_STALE: Event = event(202, Level::Warn, "older operators' text refused");
-/// A stored text has errors; the one in force stays.
+/// A stored text has errors; the text in force remains.
 pub const TEXT_BROKEN: Event = event(203, Level::Error, "stored operators' text has errors");
 /// An operator's edit was accepted.
 pub const EDIT_ACCEPTED: Event = event(204, Level::Info, "edit accepted");
-/// An operator's edit was refused because the text was changed since.
+/// An operator's edit was refused because the text has changed since its base version.
 pub const EDIT_CONFLICT: Event = event(205, Level::Info, "edit in conflict");
-/// The fate of an edit is not known yet.
+/// The outcome of an edit is not known yet.
 pub const EDIT_UNKNOWN: Event = event(206, Level::Warn, "edit not confirmed");
-/// An accepted edit is not part of the text that came into force after a restore.
+/// An accepted edit is missing from the text in force after a restore of the platform.
 pub const EDIT_LOST: Event = event(207, Level::Error, "accepted edit lost");
-/// Another instance was heard of or came back.
+/// Another instance joined or came back.
 pub const MEMBER_JOINED: Event = event(301, Level::Info, "instance joined");
-/// Another instance did not answer.
+/// Another instance did not answer probes and is suspected.
 pub const MEMBER_SUSPECT: Event = event(302, Level::Info, "instance suspected");
-/// Another instance is taken for dead.
+/// Another instance was declared dead.
 pub const MEMBER_DEAD: Event = event(303, Level::Warn, "instance dead");
 /// Another instance has left.
 pub const MEMBER_LEFT: Event = event(304, Level::Info, "instance left");
-/// This instance was suspected and has refuted it.
+/// This instance was suspected and has refuted the suspicion.
 pub const REFUTED: Event = event(305, Level::Info, "own suspicion refuted");
-/// The shares of connections have changed.
+/// The connection shares have changed.
 pub const SHARE_CHANGED: Event = event(306, Level::Info, "share of connections changed");
-/// A backend server is leaving.
+/// A backend server has announced that it is leaving.
 pub const SERVER_LEAVING: Event = event(401, Level::Info, "backend server leaving");
-/// A backend server can't be reached.
+/// A backend server is unreachable.
 pub const SERVER_DOWN: Event = event(402, Level::Warn, "backend server down");
-/// A backend server can be reached again.
+/// A backend server is reachable again.
 pub const SERVER_UP: Event = event(403, Level::Info, "backend server up");
-/// A service is answered from another snapshot than before.
+/// A service uses another snapshot than before.
 pub const SNAPSHOT: Event = event(404, Level::Info, "snapshot chosen");
-/// Servers have ended under a request: it is tried on one at a time.
+/// Servers crashed while executing a request: it is sent to one server at a time.
 pub const REQUEST_SUSPECTED: Event = event(405, Level::Warn, "request suspected of ending servers");
-/// A request has ended each server that it was tried on: it is refused for a while.
+/// A request crashed each server in isolated trials: it is refused for some time.
 pub const REQUEST_REFUSED: Event = event(406, Level::Warn, "request that ends servers refused");
 /// A server has answered a request that was suspected or refused.
 pub const REQUEST_CLEARED: Event = event(407, Level::Info, "suspected request cleared");
@@ -86,7 +86,7 @@
 /// The platform was restored from a copy.
 pub const RESTORED: Event = event(603, Level::Warn, "platform restored from a copy");
 
-/// All kinds, by number.
+/// All kinds of events, ordered by number.
 pub const CATALOGUE: [Event; 34] = [
     STARTED,
     READY,
--- a/crates/eelgrasspier/src/lib.rs
+++ b/crates/eelgrasspier/src/lib.rs
@@ -1,8 +1,8 @@
-//! The query tier's library: joins callers, backend servers, platform and peers.
+//! Library of the query tier: connects callers, backend servers, the platform and peers.
 //!
-//! One control thread keeps membership, configuration, shares and claims, and
-//! publishes immutable views; traffic threads serve callers from the latest view
-//! and never wait for control, but for the claim of a request that must run once.
+//! The control thread maintains membership, configuration, connection shares and claims, and
+//! publishes immutable views. Traffic threads serve callers from the latest view. They wait for the
+//! control thread only to claim the key of a run, and for requests of the administration API.
 
 pub mod clock;
 mod control;
--- a/crates/eelgrasspier/src/main.rs
+++ b/crates/eelgrasspier/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon of one entry instance.
+//! The daemon of one instance.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,11 +9,11 @@
 #[global_allocator]
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
 
-/// Serves callers from the shards of the operators' services.
+/// Serves queries and runs of callers from the backend servers of the configured services
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 struct Options {
-    /// This instance's own settings, in INI
+    /// Settings file of this instance (INI)
     #[bpaf(positional("SETTINGS"))]
     settings: PathBuf,
 }
--- a/crates/eelgrasspier/src/settings.rs
+++ b/crates/eelgrasspier/src/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's own settings: a small INI, checked as a whole.
+//! Settings of the daemon, read from an INI file and validated as a whole.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,84 +9,85 @@
 use eelgrasspier_decide::text::is_name;
 use ini::Ini;
 
-/// Time in milliseconds for which a stopping instance still serves by default.
+/// Default time in milliseconds for which a stopping instance continues to serve.
 const DEFAULT_LAME_DUCK_MS: u64 = 5_000;
-/// Time in milliseconds in which requests in progress must end by default.
+/// Default time in milliseconds for requests in progress to finish.
 const DEFAULT_STOP_LIMIT_MS: u64 = 30_000;
-/// Time-out of a call to the platform in milliseconds by default.
+/// Default timeout of a call to the platform in milliseconds.
 const DEFAULT_PLATFORM_TIMEOUT_MS: u64 = 1_000;
-/// Part latency quantile after which a hedge is sent by default, in thousandths.
+/// Default quantile of the part latency after which a hedge is sent, per mille.
 const DEFAULT_HEDGE_PER_MILLE: u32 = 950;
 
 /// Settings of one instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// Name of the instance, as the platform lists it.
+    /// Name of the instance in the platform's instance list.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// Where callers and operators are served; port 0 picks a free one.
+    /// Address for callers and operators; port 0 picks a free port.
     pub http_addr: SocketAddr,
-    /// Where peers are served, over TCP and UDP; port 0 picks a free one.
+    /// Address for peers, over TCP and UDP; port 0 picks a free port.
     pub peer_addr: SocketAddr,
-    /// Threads that serve callers.
+    /// Number of threads that serve callers.
     pub traffic_threads: usize,
-    /// Peers to ask where the platform can't be.
+    /// Peers to contact when the platform is unreachable.
     pub seeds: Vec<SocketAddr>,
-    /// Time for which a stopping instance still serves, so that balancers notice.
+    /// Time for which a stopping instance continues to serve until load balancers notice, in
+    /// milliseconds.
     pub lame_duck_ms: u64,
-    /// Time in which requests in progress must end after that.
+    /// Time for requests in progress to finish after that, in milliseconds.
     pub stop_limit_ms: u64,
-    /// Token that operators must show to submit; without it edits are refused.
+    /// Token required to submit edits; without it all edits are refused.
     pub admin_token: Option<String>,
-    /// Base address of the platform's object API.
+    /// Base URL of the platform's object API.
     pub platform_url: String,
-    /// Time-out of a call to the platform.
+    /// Timeout of a call to the platform, in milliseconds.
     pub platform_timeout_ms: u64,
-    /// Policy switches, for comparison.
+    /// Policy options, which allow policies to be compared.
     pub policy: Policy,
 }
 
-/// Policy switches.
+/// Policy options.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Policy {
-    /// How a replica is chosen.
+    /// Replica selection policy.
     pub choice: Choice,
-    /// Part latency quantile after which a hedge is sent, in thousandths; 0 for never.
+    /// Quantile of the part latency after which a hedge is sent, per mille; 0 disables hedging.
     pub hedge_per_mille: u32,
 }
 
-/// The settings can't be used.
+/// Error in the settings.
 #[derive(Debug, Display, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// {path} can't be read: {reason}
+    /// cannot read {path}: {reason}
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Reason.
         reason: String,
     },
     /// [{section}] {key} is missing
     Missing {
-        /// The section.
+        /// Section.
         section: &'static str,
-        /// The setting.
+        /// Key.
         key: &'static str,
     },
-    /// [{section}] {key} = {value} makes no sense
+    /// [{section}] {key} = {value} is invalid
     BadValue {
-        /// The section.
+        /// Section.
         section: &'static str,
-        /// The setting.
+        /// Key.
         key: &'static str,
-        /// What it says.
+        /// Value in the file.
         value: String,
     },
-    /// [{section}] {key} is not a setting
+    /// [{section}] {key} is an unknown setting
     Unknown {
-        /// The section.
+        /// Section.
         section: String,
-        /// The setting.
+        /// Key.
         key: String,
     },
 }
@@ -95,7 +96,7 @@
 const PLATFORM: &str = "platform";
 const POLICY: &str = "policy";
 
-/// Every setting, so that a misspelt one is noticed.
+/// All known settings; any other key is rejected, which catches misspellings.
 const KNOWN_SETTINGS: [(&str, &str); 13] = [
     (INSTANCE, "name"),
     (INSTANCE, "zone"),
--- a/crates/eelgrasspier/src/timeline.rs
+++ b/crates/eelgrasspier/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The events of this process, in bounded memory.
+//! Time line of this process's events, in bounded memory.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
@@ -9,24 +9,24 @@
 use crate::clock::{Clock, epoch_ms};
 use crate::event::Event;
 
-/// Events that are kept; at about 200 bytes each they take under a megabyte.
+/// Maximum number of stored events; at about 200 bytes each they use less than 1 MB.
 const MAX_ENTRIES: usize = 4096;
 
-/// Events of kinds that may come in floods that are kept for each second.
+/// Maximum number of rate-limited events recorded per second.
 const MAX_RATE_LIMITED_PER_S: u32 = 10;
 
-/// Recorder of the events of one process.
+/// Recorder of this process's events.
 #[derive(Debug)]
 pub struct Timeline {
     id: InstanceId,
     clock: Clock,
     entries: Mutex<VecDeque<TimelineEntry>>,
-    /// The present second, and the events that came in floods in it.
+    /// Current second and the number of rate-limited events in it.
     rate_limit: Mutex<(u64, u32)>,
 }
 
 impl Timeline {
-    /// An empty time line of the process `id`.
+    /// Creates an empty time line for the process `id`.
     #[must_use]
     pub fn new(id: InstanceId) -> Self {
         Self {
@@ -37,13 +37,13 @@
         }
     }
 
-    /// The clock that stamps the events.
+    /// Returns the clock that stamps the events.
     #[must_use]
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// Records an event that concerns `about`, such as a request, and logs it.
+    /// Records an event about `about`, such as a request id, and logs it.
     pub fn record(&self, event: Event, about: &str, detail: &str) {
         log::log!(event.level, "E{} {}: {about} {detail}", event.number, event.title);
         let entry = TimelineEntry {
@@ -62,10 +62,10 @@
         entries.push_back(entry);
     }
 
-    /// Records an event of a kind that may come in floods, a few times a second only.
+    /// Records an event unless too many were recorded this way in the same second.
     ///
-    /// A flood of refusals would push everything else out of the bounded memory,
-    /// just when somebody will want to read it. The metrics count them all.
+    /// A flood of refusals would displace all other events from the bounded memory just when they
+    /// are needed. Metrics count all of them.
     pub fn record_rate_limited(&self, event: Event, about: &str, detail: &str) {
         let second = epoch_ms() / 1000;
         let count = {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The events about `about` (all if empty) from `from_stamp` on.
+    /// Returns the events about `about` (all if empty) starting at `from_stamp`.
     #[must_use]
     pub fn entries(&self, about: &str, from_stamp: u64) -> Vec<TimelineEntry> {
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/eelgrasspier/src/web.rs
+++ b/crates/eelgrasspier/src/web.rs
@@ -1,4 +1,4 @@
-//! HTTP towards callers and operators.
+//! HTTP interface for callers and operators.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -20,10 +20,10 @@
 use crate::shared::ControlRequest;
 use crate::traffic::TrafficThread;
 
-/// When to come back to an instance that is not ready or is stopping.
+/// Retry delay suggested by an instance that is not ready or is stopping.
 const NOT_READY_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Declares every route.
+/// Registers all routes.
 pub(crate) fn routes(config: &mut web::ServiceConfig) {
     config
         .route("/v1/services/{service}/query", web::post().to(query))
@@ -111,12 +111,14 @@
     let deadline = started + Duration::from_millis(call.call.deadline_ms);
     let run = Run { service, call, request_id: Rc::clone(request_id), body, deadline };
     let traffic = Rc::clone(traffic);
-    // A task of its own: a caller that goes away must not stop a run half way.
+    // Run in a separate task, so that a caller that disconnects does not abort a started run.
     let task = actix_rt::spawn(async move { run.execute(&traffic).await });
     task.await.unwrap_or_else(|_| Err(Refusal::may_have_run(RefusalReason::AnswerLost)))
 }
 
-/// Finds the service, checks the headers and reads the body; no server is touched.
+/// Finds the service, validates the headers and reads the body.
+///
+/// No backend server is contacted.
 async fn prepare<C>(
     name: &str,
     payload: Payload,
@@ -159,8 +161,8 @@
 
 /// Asks callers to close their connections while the instance is stopping.
 ///
-/// A request written on an idle connection just as the server closes it would be
-/// lost to the caller, who sees an end of file in place of an answer.
+/// A request sent on an idle connection just as the server closes it would be lost: the caller sees
+/// an end of file instead of an answer.
 fn close_if_stopping(mut response: HttpResponse, traffic: &TrafficThread) -> HttpResponse {
     if traffic.shared.view.load().is_stopping() {
         response.head_mut().set_connection_type(actix_web::http::ConnectionType::Close);
@@ -185,7 +187,7 @@
     match page.render() {
         Ok(text) => HttpResponse::Ok().content_type("text/plain; version=0.0.4").body(text),
         Err(error) => {
-            log::error!("metrics not served: {error}");
+            log::error!("cannot render metrics: {error}");
             HttpResponse::InternalServerError().finish()
         }
     }
@@ -243,7 +245,7 @@
     response.json(answer)
 }
 
-/// Edits need the token of the settings; without one there they are refused.
+/// Returns true if the request has the token from the settings; false if none is configured.
 fn may_submit(request: &HttpRequest, token: Option<&str>) -> bool {
     let given = request.headers().get(header::AUTHORIZATION).and_then(|v| v.to_str().ok());
     let given = given.and_then(|v| v.strip_prefix("Bearer "));
--- a/crates/eelgrasspier/tests/catalogue.rs
+++ b/crates/eelgrasspier/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue of events in the docs is the one in the code.
+//! Checks the event catalogue against the documentation, and the example settings.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -22,7 +22,7 @@
         .iter()
         .map(|e| (e.number, e.level.to_string().to_lowercase(), e.title.to_owned()))
         .collect();
-    assert_eq!(coded.len(), CATALOGUE.len(), "a number stands twice");
+    assert_eq!(coded.len(), CATALOGUE.len(), "duplicate event number");
     assert_eq!(listed, coded);
 }
 
@@ -34,8 +34,8 @@
     for (wrong, expected) in [
         (example.replace("zone = pos-hall\n", ""), "[instance] zone is missing"),
         (example.replace("lame_duck_ms = 5000", "lame_duck_ms = 5s"), "lame_duck_ms = 5s"),
-        (example.replace("seeds =", "seed ="), "[instance] seed is not a setting"),
-        (example.replace("name = entry-1", "name = Entry 1"), "name = Entry 1 makes no sense"),
+        (example.replace("seeds =", "seed ="), "[instance] seed is an unknown setting"),
+        (example.replace("name = entry-1", "name = Entry 1"), "name = Entry 1 is invalid"),
     ] {
         let error = Settings::try_from(wrong.as_str()).unwrap_err().to_string();
         assert!(error.contains(expected), "{error}");
