--- a/crates/operator/src/cli.rs
+++ b/crates/operator/src/cli.rs
@@ -1,4 +1,4 @@
-//! The commands, their options and what they do.
+//! Commands of the command line tool and their options.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -12,85 +12,85 @@
 use crate::messages::{InstanceStatus, SubmitAnswer, Submitted};
 use crate::output;
 
-/// Time between two looks at the instances while waiting.
+/// Time between polls of the instances or retries of an edit.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Looks before waiting is given up.
+/// Maximum number of polls before waiting is given up.
 const MAX_POLLS: usize = 150;
-/// Tries of an edit whose fate is not known.
+/// Maximum number of attempts to submit an edit whose outcome is unknown.
 const MAX_SUBMIT_ATTEMPTS: usize = 5;
 
-/// What to do.
+/// Checks, submits and shows the operators' text, and shows status and events of all instances
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 pub enum Command {
     #[bpaf(command)]
-    /// Check an operators' text; every error is reported with its line
+    /// Check an operators' text and report every error with its line
     Check {
-        /// The text
+        /// File with the operators' text
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
     #[bpaf(command)]
     /// Submit an operators' text, edited from the version given
     Submit {
-        /// Which instance to ask
+        /// Instance to send the request to
         #[bpaf(external)]
         target: Target,
-        /// Version that the edit was made from; 0 for the first text
+        /// Version the edit is based on; 0 for the first text
         #[bpaf(long, argument("VERSION"))]
         base: Position,
-        /// Who submits, for the record
+        /// Name of the submitter, recorded with the edit
         #[bpaf(long, argument("NAME"), fallback("operator".to_owned()))]
         submitter: String,
         /// Wait until the text is in force on all instances
         #[bpaf(long, switch)]
         wait: bool,
-        /// The text
+        /// File with the operators' text
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
     #[bpaf(command)]
-    /// Show the text in force; its version goes to standard error
+    /// Show the text in force; its version is printed to standard error
     Show {
-        /// Which instance to ask
+        /// Instance to send the request to
         #[bpaf(external)]
         target: Target,
     },
     #[bpaf(command)]
     /// Show the state of all instances
     Status {
-        /// Which instance to ask
+        /// Instance to send the request to
         #[bpaf(external)]
         target: Target,
-        /// Print JSON
+        /// Print as JSON
         #[bpaf(long, switch)]
         json: bool,
     },
     #[bpaf(command)]
-    /// Show the events of all instances in one order
+    /// Show the events of all instances in chronological order
     Timeline {
-        /// Which instance to ask
+        /// Instance to send the request to
         #[bpaf(external)]
         target: Target,
         /// Only events about this request, edit, service or instance
         #[bpaf(long, argument("WHAT"), fallback(String::new()))]
         about: String,
-        /// Only events of the last so many seconds
+        /// Only events of the last SECONDS seconds
         #[bpaf(long, argument("SECONDS"))]
         last_s: Option<u64>,
-        /// Print JSON
+        /// Print as JSON
         #[bpaf(long, switch)]
         json: bool,
     },
 }
 
-/// The instance to talk to.
+/// Instance to send requests to
 #[derive(Debug, Clone, Bpaf)]
 pub struct Target {
-    /// Address of any instance
+    /// URL of any instance
     #[bpaf(long, argument("URL"), env("EELGRASSPIER_INSTANCE"), fallback("http://127.0.0.1:8080".to_owned()))]
     instance: String,
-    /// Token that allows edits
+    /// Token that authorizes edits
     #[bpaf(long, argument("TOKEN"), env("EELGRASSPIER_TOKEN"))]
     token: Option<String>,
 }
@@ -101,13 +101,13 @@
     }
 }
 
-/// The command line's parser.
+/// Returns the parser of the command line.
 #[must_use]
 pub fn options() -> bpaf::OptionParser<Command> {
     command()
 }
 
-/// Carries out a command; its failure is the exit code.
+/// Executes a command and returns its exit code; errors are printed to standard error.
 pub async fn run(command: &Command) -> ExitCode {
     let result = match command {
         Command::Check { file } => check(file),
@@ -166,16 +166,18 @@
         }
         Ok(SubmitAnswer::Conflict { version }) => {
             let now = Position::from_number(version);
-            Err(format!("not accepted: the text is at version {now} now; edit from that one"))
+            Err(format!(
+                "edit rejected: the text is at version {now} now; base the edit on that version"
+            ))
         }
         Ok(SubmitAnswer::Broken { errors }) => Err(errors),
-        Ok(SubmitAnswer::Forbidden) => Err("not allowed: token missing or wrong".to_owned()),
-        Ok(SubmitAnswer::Unknown { reason }) => Err(format!("not confirmed: {reason}")),
+        Ok(SubmitAnswer::Forbidden) => Err("not authorized: token is missing or wrong".to_owned()),
+        Ok(SubmitAnswer::Unknown { reason }) => Err(format!("edit not confirmed: {reason}")),
         Err(error) => Err(error.to_string()),
     }
 }
 
-/// Submits the same edit until its fate is known, or tries run out.
+/// Submits the same edit until its outcome is known or the attempts are exhausted.
 async fn submit_until_known(
     client: &AdminClient,
     edit: &Submitted,
@@ -191,7 +193,7 @@
     last
 }
 
-/// A random id, from the random half of a UUID.
+/// Returns a random id, taken from the random half of a UUID.
 fn new_edit_id() -> u64 {
     uuid::Uuid::now_v7().as_u64_pair().1
 }
@@ -208,7 +210,7 @@
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     let version = Position::from_number(version);
-    Err(format!("version {version} is not in force on all instances yet"))
+    Err(format!("timed out: version {version} is not in force on all instances yet"))
 }
 
 async fn show(target: &Target) -> Result<(), String> {
--- a/crates/operator/src/client.rs
+++ b/crates/operator/src/client.rs
@@ -9,23 +9,23 @@
 
 use crate::messages::{InstanceStatus, ShownText, SubmitAnswer, Submitted, TimelineEntry};
 
-/// Time-out of a call, in seconds.
+/// Timeout of a call.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
-/// Largest answer in bytes.
+/// Maximum size of an answer in bytes.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// A call of the administration API failed.
+/// Error of a call to the administration API.
 #[derive(Debug, Display, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum AdminError {
-    /// the instance does not answer: {0}
+    /// instance unreachable: {0}
     Unreachable(String),
-    /// the instance answered with status {0}
+    /// instance answered with HTTP status {0}
     Status(u16),
-    /// the answer makes no sense: {0}
+    /// cannot encode request or decode answer: {0}
     Malformed(String),
 }
 
-/// Calls the administration API of one instance.
+/// Client of one instance's administration API.
 #[derive(Clone)]
 pub struct AdminClient {
     base: String,
@@ -40,7 +40,7 @@
 }
 
 impl AdminClient {
-    /// A client for the instance at `base`, such as `http://127.0.0.1:8080`.
+    /// Creates a client for the instance at `base`, such as `http://127.0.0.1:8080`.
     #[must_use]
     pub fn new(base: &str, token: Option<&str>) -> Self {
         let client = Client::builder().timeout(REQUEST_TIMEOUT).finish();
@@ -48,26 +48,26 @@
         Self { base, token: token.map(str::to_owned), client }
     }
 
-    /// Status of all instances.
+    /// Returns the status of all instances.
     ///
     /// # Errors
-    /// Fails if the instance does not answer.
+    /// Fails if the instance is unreachable or its answer is invalid.
     pub async fn status(&self) -> Result<Vec<InstanceStatus>, AdminError> {
         self.get("/admin/status").await
     }
 
-    /// The text in force.
+    /// Returns the text in force.
     ///
     /// # Errors
-    /// Fails if the instance does not answer or has no text.
+    /// Fails if the instance is unreachable, has no text or its answer is invalid.
     pub async fn text(&self) -> Result<ShownText, AdminError> {
         self.get("/admin/text").await
     }
 
-    /// Events of all instances in one order.
+    /// Returns the events of all instances, ordered by stamp.
     ///
     /// # Errors
-    /// Fails if the instance does not answer.
+    /// Fails if the instance is unreachable or its answer is invalid.
     pub async fn timeline(
         &self,
         about: &str,
@@ -82,7 +82,8 @@
     /// Submits an edit.
     ///
     /// # Errors
-    /// Fails if the instance does not answer; submitting the same again is safe.
+    /// Fails if the instance is unreachable or its answer is invalid; submitting the same edit
+    /// again is safe.
     pub async fn submit(&self, edit: &Submitted) -> Result<SubmitAnswer, AdminError> {
         let mut request = self.client.put(format!("{}/admin/text", self.base));
         if let Some(token) = &self.token {
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,4 +1,4 @@
-//! The administration API and its command line: types, client and commands.
+//! The administration API: message types, client and command line tool.
 
 mod cli;
 mod client;
--- a/crates/operator/src/main.rs
+++ b/crates/operator/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! Command line tool for operators.
 
 use std::process::ExitCode;
 
--- a/crates/operator/src/messages.rs
+++ b/crates/operator/src/messages.rs
@@ -1,39 +1,39 @@
-//! Messages of the administration API, as JSON.
+//! JSON messages of the administration API.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use subtle::ConstantTimeEq;
 
-/// State of one instance.
+/// Status of one instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceStatus {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Start time of its process in milliseconds since the epoch.
+    /// Start time of the process in milliseconds since the epoch.
     pub incarnation: u64,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// What it says of itself, or `unreachable`.
+    /// State announced by the instance, or `unreachable`.
     pub state: String,
-    /// Version of the text in force there.
+    /// Version of the text in force on the instance.
     pub config_version: Option<u64>,
-    /// Live instances that it knows of, itself included.
+    /// Number of live instances known to it, including itself.
     pub members: usize,
-    /// Instances among whom it splits connections.
+    /// Number of instances that share the connections.
     pub holders: usize,
-    /// Whether all of them announce the same list.
+    /// True if all of them announce the same list.
     pub is_share_agreed: bool,
-    /// Backend servers that it knows to be leaving.
+    /// Number of backend servers known to be leaving.
     pub leaving_servers: usize,
-    /// Index version that each service is answered from.
+    /// Index version in use by each service.
     pub snapshots: BTreeMap<String, u64>,
 }
 
 /// The operators' text in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShownText {
-    /// Its version, with the platform's era: a `Position` as a number.
+    /// Version of the text, including the platform's era: a `Position` as a number.
     pub version: u64,
     /// The text.
     pub text: String,
@@ -42,69 +42,69 @@
 /// An edit to be submitted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submitted {
-    /// The submitter's unique id of the edit; the same on every retry.
+    /// Unique id of the edit, chosen by the submitter; the same on every retry.
     pub edit_id: u64,
-    /// Version that the edit was made from; 0 for the first text.
+    /// Version the edit is based on; 0 for the first text.
     pub base: u64,
-    /// Who submits it.
+    /// Name of the submitter.
     pub submitter: String,
-    /// The whole new text.
+    /// Complete new text.
     pub text: String,
 }
 
-/// What became of an edit.
+/// Outcome of an edit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum SubmitAnswer {
-    /// It was accepted and has this version.
+    /// The edit was accepted.
     Accepted {
-        /// The new version.
+        /// New version of the text.
         version: u64,
     },
-    /// It was accepted, and a later edit was made on top of it.
+    /// The edit was accepted, and a later edit was based on it.
     Superseded {
         /// Version of the later edit.
         version: u64,
     },
-    /// The text was changed since; nothing was overwritten.
+    /// The text has changed since the base version; nothing was overwritten.
     Conflict {
-        /// Version of the text now.
+        /// Current version of the text.
         version: u64,
     },
     /// The text has errors; nothing was sent to the platform.
     Broken {
-        /// The errors, one a line.
+        /// Errors, one per line.
         errors: String,
     },
-    /// Its fate is not known; submitting the same edit id again is safe.
+    /// The outcome is unknown; submitting the same edit id again is safe.
     Unknown {
-        /// Why.
+        /// Reason.
         reason: String,
     },
-    /// The token is missing or wrong, or the instance has none.
+    /// The token is missing or wrong, or the instance has none configured.
     Forbidden,
 }
 
-/// One event of the time line.
+/// Event of the time line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimelineEntry {
-    /// Hybrid clock stamp: milliseconds since the epoch, shifted left by 16 bits.
+    /// Stamp of the hybrid logical clock: milliseconds since the epoch, shifted left by 16 bits.
     pub stamp: u64,
-    /// Instance that recorded it.
+    /// Instance that recorded the event.
     pub instance: String,
-    /// Start time of its process.
+    /// Start time of the instance's process in milliseconds since the epoch.
     pub incarnation: u64,
-    /// Number in the catalogue.
+    /// Number of the event in the catalogue.
     pub number: u16,
-    /// What the catalogue says.
+    /// Title of the event in the catalogue.
     pub title: String,
-    /// What it concerns: a request id, an edit id, a service, an instance.
+    /// Subject of the event: a request id, edit id, service or instance.
     pub about: String,
-    /// Details.
+    /// Details of the event.
     pub detail: String,
 }
 
-/// Compares tokens in a time that does not depend on where they differ.
+/// Compares tokens in constant time, independent of the first difference.
 #[must_use]
 pub fn is_same_token(given: &str, wanted: &str) -> bool {
     given.as_bytes().ct_eq(wanted.as_bytes()).into()
--- a/crates/operator/src/output.rs
+++ b/crates/operator/src/output.rs
@@ -1,4 +1,4 @@
-//! Tables and JSON for the terminal.
+//! Table and JSON output for the terminal.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -7,11 +7,11 @@
 
 use crate::messages::{InstanceStatus, TimelineEntry};
 
-/// Bits of a stamp below its milliseconds.
+/// Number of low bits of a stamp that order events within one millisecond.
 const STAMP_COUNTER_BITS: u32 = 16;
-/// Width of a column.
+/// Width of a table column in characters.
 const COLUMN_WIDTH: usize = 14;
-/// Milliseconds of a day.
+/// Milliseconds per day.
 const DAY_MS: u64 = 24 * 60 * 60 * 1000;
 
 /// Prints a value as indented JSON.
@@ -21,14 +21,14 @@
     Ok(())
 }
 
-/// The stamp of the moment `seconds` ago.
+/// Returns the stamp of the time `seconds` ago.
 pub(crate) fn stamp_before(seconds: u64) -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let now_ms = u64::try_from(since.as_millis()).unwrap_or(u64::MAX);
     now_ms.saturating_sub(seconds * 1000) << STAMP_COUNTER_BITS
 }
 
-/// A table of instances.
+/// Formats a table of instances.
 pub(crate) fn status_table(all: &[InstanceStatus]) -> String {
     let mut table = String::new();
     let header = ["instance", "zone", "state", "text", "members", "holders", "agreed", "leaving"];
@@ -55,7 +55,7 @@
     table
 }
 
-/// A table of events in order.
+/// Formats a table of events, in the given order.
 pub(crate) fn timeline_table(entries: &[TimelineEntry]) -> String {
     let mut table = String::new();
     for e in entries {
@@ -66,7 +66,7 @@
     table
 }
 
-/// Time of day of a stamp, in UTC, with the counter that orders within it.
+/// Formats a stamp as UTC time of day with the counter that orders events within a millisecond.
 fn format_time(stamp: u64) -> String {
     let ms = (stamp >> STAMP_COUNTER_BITS) % DAY_MS;
     let counter = stamp & ((1 << STAMP_COUNTER_BITS) - 1);
