--- a/crates/eelgrasspier/src/control/members.rs
+++ b/crates/eelgrasspier/src/control/members.rs
@@ -104,8 +104,8 @@
         if self.processed_epoch.replace(epoch) == epoch && !has_changes {
             return;
         }
-        let has_moved = self.update_agreement();
-        if has_moved || has_changes {
+        let has_changed_shares = self.update_agreement();
+        if has_changed_shares || has_changes {
             self.publish();
             self.watch_roles_changed.notify_waiters();
         }
@@ -142,8 +142,8 @@
         }
         let digest = agreement.digest();
         membership.update_own(|m| m.share_digest = digest);
-        let has_moved = agreement.bounds() != before;
-        if has_moved {
+        let has_changed_shares = agreement.bounds() != before;
+        if has_changed_shares {
             let about = &self.shared.settings.name;
             let lists = agreement.bounds();
             let sizes: Vec<String> = lists.iter().map(|l| l.len().to_string()).collect();
@@ -153,7 +153,7 @@
                 &format!("member counts {}", sizes.join(", ")),
             );
         }
-        has_moved
+        has_changed_shares
     }
 
     /// Returns true if this instance certainly knows an instance that holds connections, if any
--- a/crates/eelgrasspier/src/control/mod.rs
+++ b/crates/eelgrasspier/src/control/mod.rs
@@ -211,7 +211,7 @@
             version: self.in_force.borrow().version(),
             services: Arc::clone(&self.services.borrow()),
             own_key: self.membership.borrow().own().key(),
-            bounds: self.agreement.borrow().bounds(),
+            share_bounds: self.agreement.borrow().bounds(),
             leaving: self.leaving.borrow().clone(),
             peers: self.peers(),
             state: self.state.get(),
--- a/crates/eelgrasspier/src/control/text.rs
+++ b/crates/eelgrasspier/src/control/text.rs
@@ -10,7 +10,7 @@
 use eelgrasspier_decide::membership::{Member, State};
 use eelgrasspier_decide::prelude::Services;
 use eelgrasspier_decide::rendezvous;
-use eelgrasspier_operator::{ShownText, SubmitAnswer, Submitted};
+use eelgrasspier_operator::{SubmitAnswer, Submitted, TextResponse};
 use eelgrasspier_peer::wire::Body;
 use eelgrasspier_store::stored::{StoredEdit, StoredText, TEXT_OBJECT};
 use eelgrasspier_store::{Backoff, Object, UpdateError};
@@ -210,10 +210,10 @@
         is_starting && member.state() == State::Ready && member.config_version > 0
     }
 
-    pub(super) fn text_in_force(&self) -> Option<ShownText> {
+    pub(super) fn text_in_force(&self) -> Option<TextResponse> {
         let stored = self.stored.borrow().clone()?;
         let text = StoredText::decode(stored).ok()?.text;
-        Some(ShownText { version: self.in_force.borrow().version()?, text })
+        Some(TextResponse { version: self.in_force.borrow().version()?, text })
     }
 
     /// Submits an edit, retrying until its outcome is known or the timeout expires.
--- a/crates/eelgrasspier/src/forward.rs
+++ b/crates/eelgrasspier/src/forward.rs
@@ -65,7 +65,7 @@
     tried: &[u64],
 ) -> Option<SocketAddr> {
     let view = traffic.view.borrow();
-    let members = view.bounds.last()?;
+    let members = view.share_bounds.last()?;
     let spec = &service.spec;
     let limit = spec.connections - spec.run_connections;
     let replicas = spec.shards.get(shard as usize)?;
--- a/crates/eelgrasspier/src/shared.rs
+++ b/crates/eelgrasspier/src/shared.rs
@@ -9,7 +9,7 @@
 use eelgrasspier_decide::claim::{Key, Nonce, Outcome};
 use eelgrasspier_decide::leaving::Server;
 use eelgrasspier_decide::quarantine::Report;
-use eelgrasspier_operator::{InstanceStatus, ShownText, SubmitAnswer, Submitted, TimelineEntry};
+use eelgrasspier_operator::{InstanceStatus, SubmitAnswer, Submitted, TextResponse, TimelineEntry};
 use eelgrasspier_peer::wire::{Parts, PartsDone};
 use eelgrasspier_store::ClaimError;
 use tokio::sync::{mpsc, oneshot};
@@ -36,7 +36,7 @@
     /// Submits an edit of the operators' text.
     Submit { submitted: Submitted, reply: oneshot::Sender<SubmitAnswer> },
     /// Returns the text in force.
-    Text { reply: oneshot::Sender<Option<ShownText>> },
+    Text { reply: oneshot::Sender<Option<TextResponse>> },
     /// Returns the status of all instances.
     Status { reply: oneshot::Sender<Vec<InstanceStatus>> },
     /// Returns the events of all instances.
--- a/crates/eelgrasspier/src/view.rs
+++ b/crates/eelgrasspier/src/view.rs
@@ -31,7 +31,7 @@
     /// Key of this instance in member lists.
     pub own_key: u64,
     /// Member lists that limit the connection shares.
-    pub bounds: Vec<Vec<u64>>,
+    pub share_bounds: Vec<Vec<u64>>,
     /// Backend servers that are leaving.
     pub leaving: Leaving,
     /// Other live instances that are not leaving.
@@ -44,7 +44,7 @@
     /// Returns the number of connections this process may open to `replica`.
     #[must_use]
     pub fn connection_share(&self, replica: u64, limit: u32) -> u32 {
-        share::share_within(&self.bounds, self.own_key, replica, limit)
+        share::share_within(&self.share_bounds, self.own_key, replica, limit)
     }
 
     /// Returns true if the instance can serve callers.
--- a/crates/eelgrasspier/src/web.rs
+++ b/crates/eelgrasspier/src/web.rs
@@ -8,7 +8,7 @@
 use actix_web::{HttpRequest, HttpResponse};
 use eelgrasspier_caller::{Answer, Call, CallError, RunAnswer, RunCall, problem_response};
 use eelgrasspier_decide::prelude::{Refusal, RefusalReason};
-use eelgrasspier_operator::{SubmitAnswer, Submitted, is_same_token};
+use eelgrasspier_operator::{SubmitAnswer, Submitted, tokens_match};
 use eelgrasspier_telemetry::Page;
 use serde::Deserialize;
 
@@ -143,7 +143,7 @@
 fn find_service(traffic: &Rc<TrafficThread>, name: &str) -> Result<Rc<ServiceState>, Refusal> {
     let service = traffic.service(name);
     let view = traffic.view.borrow();
-    if view.version.is_none() || view.bounds.is_empty() {
+    if view.version.is_none() || view.share_bounds.is_empty() {
         return Err(Refusal::not_run(RefusalReason::NotReady, Some(NOT_READY_RETRY_AFTER_MS)));
     }
     service.ok_or_else(|| Refusal::not_run(RefusalReason::UnknownService(name.to_owned()), None))
@@ -217,7 +217,7 @@
 
 async fn show_text(traffic: TrafficData) -> HttpResponse {
     match traffic.shared.call_control(|reply| ControlRequest::Text { reply }).await {
-        Some(Some(shown)) => HttpResponse::Ok().json(shown),
+        Some(Some(text)) => HttpResponse::Ok().json(text),
         Some(None) => HttpResponse::NotFound().finish(),
         None => HttpResponse::ServiceUnavailable().finish(),
     }
@@ -249,7 +249,7 @@
 fn may_submit(request: &HttpRequest, token: Option<&str>) -> bool {
     let given = request.headers().get(header::AUTHORIZATION).and_then(|v| v.to_str().ok());
     let given = given.and_then(|v| v.strip_prefix("Bearer "));
-    matches!((given, token), (Some(given), Some(wanted)) if is_same_token(given, wanted))
+    matches!((given, token), (Some(given), Some(wanted)) if tokens_match(given, wanted))
 }
 
 fn json<T: serde::Serialize>(value: Option<T>) -> HttpResponse {
--- a/crates/operator/src/client.rs
+++ b/crates/operator/src/client.rs
@@ -7,7 +7,7 @@
 use displaydoc::Display;
 use serde::de::DeserializeOwned;
 
-use crate::messages::{InstanceStatus, ShownText, SubmitAnswer, Submitted, TimelineEntry};
+use crate::messages::{InstanceStatus, SubmitAnswer, Submitted, TextResponse, TimelineEntry};
 
 /// Timeout of a call.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     /// Fails if the instance is unreachable, has no text or its answer is invalid.
-    pub async fn text(&self) -> Result<ShownText, AdminError> {
+    pub async fn text(&self) -> Result<TextResponse, AdminError> {
         self.get("/admin/text").await
     }
 
--- a/crates/operator/src/messages.rs
+++ b/crates/operator/src/messages.rs
@@ -32,7 +32,7 @@
 
 /// The operators' text in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShownText {
+pub struct TextResponse {
     /// Version of the text, including the platform's era: a `Position` as a number.
     pub version: u64,
     /// The text.
@@ -106,6 +106,6 @@
 
 /// Compares tokens in constant time, independent of the first difference.
 #[must_use]
-pub fn is_same_token(given: &str, wanted: &str) -> bool {
+pub fn tokens_match(given: &str, wanted: &str) -> bool {
     given.as_bytes().ct_eq(wanted.as_bytes()).into()
 }
