--- a/crates/backend/src/exchange.rs
+++ b/crates/backend/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with a backend server.
+//! Exchanges with backend servers over pooled HTTP connections.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -13,87 +13,89 @@
 
 use crate::failure::PartFailure;
 use crate::headers;
-use crate::report::{Report, number};
+use crate::report::{Report, header_number};
 
 /// Idle time after which a pooled connection is closed.
 ///
-/// Shorter than servers keep theirs, so that a request is rarely written on a
-/// connection that the server is closing at that moment.
-const KEEP_IDLE: Duration = Duration::from_secs(3);
-/// Age after which a connection is closed, so that none lives on forgotten.
-const KEEP_LIFETIME: Duration = Duration::from_secs(75);
-/// The pool's own limit counts over all hosts, where one silent host would hold up
-/// the others; the share of each replica is kept by permits instead.
-const NO_LIMIT: usize = 1 << 20;
-
-/// What kind of request a part belongs to.
+/// Shorter than the servers' own keep-alive timeout, so that a request is rarely written to a
+/// connection that the server is about to close.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Age after which a pooled connection is closed, so that none stays open indefinitely.
+const POOL_MAX_AGE: Duration = Duration::from_secs(75);
+/// Connection limit of the client's pool, high enough to have no effect.
+///
+/// The pool counts connections over all hosts, so one unresponsive host could block requests to the
+/// others. Permits limit the connections to each replica instead.
+const POOL_CONNECTION_LIMIT: usize = 1 << 20;
+
+/// Kind of request that a part belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Kind {
-    /// A repeatable query.
+    /// A query, which may be retried.
     Query,
-    /// A request that must not run twice, with its idempotency key.
+    /// A run, which must not be executed twice.
     Run {
-        /// The caller's key.
+        /// Idempotency key given by the caller.
         key: String,
     },
 }
 
-/// One part to be asked of one backend server.
+/// Request for one shard, sent to one backend server.
 #[derive(Debug, Clone)]
 pub struct PartRequest {
-    /// Address of the server.
+    /// Address of the backend server.
     pub addr: SocketAddr,
     /// Query or run.
     pub kind: Kind,
     /// Name of the service.
     pub service: Rc<str>,
-    /// The shard.
+    /// Number of the shard.
     pub shard: ShardId,
-    /// The version that the part must be made from.
+    /// Index version required for the answer.
     pub version: Option<IndexVersion>,
-    /// Time that is left.
+    /// Remaining time.
     pub time_left: Duration,
-    /// Unique id of this exchange, for cancellation.
+    /// Unique id of this exchange, used for cancellation.
     pub id: String,
-    /// The caller's body.
+    /// Body of the caller's request.
     pub body: Bytes,
-    /// Largest answer in bytes.
+    /// Maximum size of the answer's body in bytes.
     pub max_bytes: usize,
 }
 
-/// A usable answer.
+/// Successful answer of a backend server.
 #[derive(Debug, Clone)]
 pub struct PartAnswer {
-    /// Its body.
+    /// Response body.
     pub body: Bytes,
-    /// The version that it was made from, where the server says one.
+    /// Index version used for the answer, if reported.
     pub version: Option<IndexVersion>,
-    /// What the server says of itself.
+    /// Server state reported with the answer.
     pub report: Report,
 }
 
-/// The end of an exchange; dropping it closes the connection.
+/// Future of an exchange; dropping it closes the connection.
 pub type PartFuture<T> = Pin<Box<dyn Future<Output = Result<T, PartFailure>>>>;
 
-/// Exchanges with backend servers.
+/// Sends requests to backend servers.
 pub trait Exchanger: std::fmt::Debug {
-    /// Sends one part and waits for its answer.
+    /// Sends one request and waits for its answer.
     fn exchange(&self, request: PartRequest) -> PartFuture<PartAnswer>;
 
-    /// Asks a server for its state, which also opens a connection to it.
+    /// Requests the state of a server; also opens a connection to it.
     fn probe(&self, addr: SocketAddr, timeout: Duration) -> PartFuture<Report>;
 
-    /// Tells a server that the answer to `id` is not wanted any more.
+    /// Tells a server that the answer to request `id` is no longer needed.
     fn cancel(&self, addr: SocketAddr, id: &str, timeout: Duration) -> PartFuture<()>;
 }
 
-/// Exchanges over HTTP, with pooled connections of one thread.
+/// [`Exchanger`] over HTTP; its connection pool belongs to one thread.
 #[derive(Clone)]
 pub struct HttpExchanger {
     pooled: Client,
-    /// Never reuses a connection: a run written on one that the server is closing
-    /// would be lost with an unknown outcome.
-    fresh: Client,
+    /// Opens a connection for each request. A run sent on a pooled connection that the server is
+    /// closing would be lost with an unknown outcome.
+    unpooled: Client,
 }
 
 impl std::fmt::Debug for HttpExchanger {
@@ -103,17 +105,17 @@
 }
 
 impl HttpExchanger {
-    /// Must be called on the thread that will use it.
+    /// Creates a client, which must be used on the calling thread only.
     #[must_use]
     pub fn new(connect_timeout: Duration) -> Self {
-        let connector = || Connector::new().limit(NO_LIMIT).timeout(connect_timeout);
-        let pooled = connector().conn_keep_alive(KEEP_IDLE).conn_lifetime(KEEP_LIFETIME);
-        // Following redirects would cost a copy of every header and body.
-        let client = |c| {
+        let connector = || Connector::new().limit(POOL_CONNECTION_LIMIT).timeout(connect_timeout);
+        let pooled = connector().conn_keep_alive(POOL_IDLE_TIMEOUT).conn_lifetime(POOL_MAX_AGE);
+        // Following redirects would require a copy of all headers and the body.
+        let client = |connector| {
             let builder = Client::builder().disable_timeout().disable_redirects();
-            builder.no_default_headers().connector(c).finish()
+            builder.no_default_headers().connector(connector).finish()
         };
-        Self { pooled: client(pooled), fresh: client(connector()) }
+        Self { pooled: client(pooled), unpooled: client(connector()) }
     }
 
     fn request(&self, part: &PartRequest) -> ClientRequest {
@@ -121,7 +123,7 @@
         let request = match &part.kind {
             Kind::Query => self.pooled.post(url("query")),
             Kind::Run { key } => {
-                let request = self.fresh.post(url("run")).force_close();
+                let request = self.unpooled.post(url("run")).force_close();
                 request.insert_header((headers::IDEMPOTENCY_KEY.clone(), key.as_str()))
             }
         };
@@ -143,12 +145,12 @@
         let mut answer = sent.map_err(|e| PartFailure::from(&e))?;
         let report = Report::from(answer.headers());
         check_status(answer.status(), &report)?;
-        let version = number(answer.headers(), &headers::VERSION);
+        let version = header_number(answer.headers(), &headers::VERSION);
         if part.version.is_some() && version != part.version {
             return Err(PartFailure::WrongVersion(Box::new(report)));
         }
         let body = answer.body().limit(part.max_bytes).await;
-        let body = body.map_err(|e| body_failure(&e, part.max_bytes))?;
+        let body = body.map_err(|e| classify_body_error(&e, part.max_bytes))?;
         Ok(PartAnswer { body, version, report })
     }
 }
@@ -162,24 +164,25 @@
     }
 }
 
-fn body_failure(error: &PayloadError, max_bytes: usize) -> PartFailure {
+fn classify_body_error(error: &PayloadError, max_bytes: usize) -> PartFailure {
     match error {
         PayloadError::Overflow => PartFailure::TooLarge(max_bytes),
         other => PartFailure::Lost(other.to_string()),
     }
 }
 
-/// Runs `work` for at most `timeout`.
-async fn within<T>(
+/// Awaits `work` for at most `timeout`.
+async fn with_timeout<T>(
     timeout: Duration,
     work: impl Future<Output = Result<T, PartFailure>>,
 ) -> Result<T, PartFailure> {
-    let waited = actix_rt::time::timeout(timeout, work).await;
-    waited.unwrap_or(Err(PartFailure::TimedOut))
+    let result = actix_rt::time::timeout(timeout, work).await;
+    result.unwrap_or(Err(PartFailure::TimedOut))
 }
 
-/// Drains an answer whose body does not matter, so that its connection is reused.
-async fn read_report(request: ClientRequest) -> Result<Report, PartFailure> {
+/// Sends a request, reads its body to the end so that the connection can be reused, and returns the
+/// reported state.
+async fn fetch_report(request: ClientRequest) -> Result<Report, PartFailure> {
     let mut answer = request.send().await.map_err(|e| PartFailure::from(&e))?;
     let report = Report::from(answer.headers());
     check_status(answer.status(), &report)?;
@@ -191,16 +194,16 @@
 impl Exchanger for HttpExchanger {
     fn exchange(&self, request: PartRequest) -> PartFuture<PartAnswer> {
         let client = self.clone();
-        Box::pin(async move { within(request.time_left, client.send(&request)).await })
+        Box::pin(async move { with_timeout(request.time_left, client.send(&request)).await })
     }
 
     fn probe(&self, addr: SocketAddr, timeout: Duration) -> PartFuture<Report> {
         let request = self.pooled.get(format!("http://{addr}/state"));
-        Box::pin(within(timeout, read_report(request)))
+        Box::pin(with_timeout(timeout, fetch_report(request)))
     }
 
     fn cancel(&self, addr: SocketAddr, id: &str, timeout: Duration) -> PartFuture<()> {
         let request = self.pooled.delete(format!("http://{addr}/requests/{id}"));
-        Box::pin(within(timeout, async move { read_report(request).await.map(drop) }))
+        Box::pin(with_timeout(timeout, async move { fetch_report(request).await.map(drop) }))
     }
 }
--- a/crates/backend/src/failure.rs
+++ b/crates/backend/src/failure.rs
@@ -1,4 +1,4 @@
-//! How an exchange with a backend server can fail.
+//! Errors of exchanges with backend servers.
 
 use awc::error::{ConnectError, SendRequestError};
 use displaydoc::Display;
@@ -6,7 +6,7 @@
 
 use crate::report::Report;
 
-/// An exchange that brought no usable answer.
+/// Reason why an exchange returned no usable answer.
 #[derive(Debug, Display, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PartFailure {
     /// the backend server could not be reached: {0}
@@ -19,22 +19,22 @@
     WrongVersion(Box<Report>),
     /// the connection was lost: {0}
     Lost(String),
-    /// no answer came in time
+    /// timed out waiting for the answer
     TimedOut,
     /// the backend server answered with status {0}
     Status(u16),
     /// the answer is longer than {0} bytes
     TooLarge(usize),
-    /// all connections that may be open to the backend server are in use
+    /// all permitted connections to the backend server are in use
     Crowded,
-    /// another backend server has the address now
+    /// the address now belongs to another backend server
     Misdirected,
     /// the answer can't be used: {0}
     Unusable(String),
 }
 
 impl PartFailure {
-    /// Whether the request may have run on the backend server.
+    /// Returns the verdict on whether the backend server may have run the request.
     #[must_use]
     pub fn verdict(&self) -> Verdict {
         match self {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// What kind of failure it is, as a label.
+    /// Returns the failure kind used as a metric label.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Whether another replica may do better.
+    /// Returns true if another replica may succeed.
     #[must_use]
     pub fn is_retryable(&self) -> bool {
         !matches!(self, Self::Status(400..=499) | Self::TooLarge(_))
@@ -78,16 +78,17 @@
 }
 
 impl From<&SendRequestError> for PartFailure {
-    /// Only a failure before any byte could go out says that nothing ran.
+    /// Classifies an error of the HTTP client.
     ///
-    /// awc reports a server that read the whole request and closed the connection
-    /// as `Connect(Disconnected)`. Taken for "not reached", a request that ran
-    /// would be refused as not run; the caller would notice a second run.
+    /// Only a failure before any byte was written proves that the request did not run. `awc`
+    /// reports a server that read the whole request and then closed the connection as
+    /// `Connect(Disconnected)`. Mapping that to [`PartFailure::NotReached`] would report "not run"
+    /// for a request that ran, and the caller's retry would run it a second time.
     fn from(error: &SendRequestError) -> Self {
         match error {
             SendRequestError::Timeout => Self::TimedOut,
             SendRequestError::Url(_) => Self::NotReached(error.to_string()),
-            SendRequestError::Connect(connect) if is_before_connection(connect) => {
+            SendRequestError::Connect(connect) if failed_before_connecting(connect) => {
                 Self::NotReached(error.to_string())
             }
             _ => Self::Lost(error.to_string()),
@@ -95,7 +96,7 @@
     }
 }
 
-fn is_before_connection(error: &ConnectError) -> bool {
+fn failed_before_connecting(error: &ConnectError) -> bool {
     use std::io::ErrorKind;
     match error {
         ConnectError::Timeout | ConnectError::Resolver(_) | ConnectError::NoRecords => true,
--- /dev/null
+++ b/crates/backend/src/pool.rs
@@ -0,0 +1,393 @@
+//! Connection pool that knows whether each request was written and each answer is complete.
+//!
+//! The pooled client in `exchange` can't determine two things that matter for requests that must
+//! not run twice: whether a request on a reused connection was written at all, and whether a
+//! chunked body that ends with the connection is complete. This pool manages connections itself:
+//! each one carries one request at a time, dropping an exchange closes its connection, and a
+//! connection that showed any irregularity is never reused.
+
+use std::cell::{Cell, RefCell};
+use std::collections::{HashMap, HashSet};
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use actix_rt::task::JoinHandle;
+use bytes::Bytes;
+use http::header::CONNECTION;
+use http::{HeaderMap, Request, Response, StatusCode};
+use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
+use hyper::body::Incoming;
+use hyper::client::conn::http1::{SendRequest, handshake};
+use hyper_util::rt::TokioIo;
+use tokio::net::TcpStream;
+
+use crate::failure::PartFailure;
+
+/// Timeout for opening a connection. Zones are a few milliseconds apart and a server takes up to
+/// 6 ms to accept, so a longer wait means that packets were lost or the server is full.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Idle timeout of a connection if the server states none.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Margin subtracted from the server's stated keep-alive timeout, which is in whole seconds. Covers
+/// the network delay and a server timer that started earlier than the local one.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
+/// Maximum idle time of a connection reused for a non-repeatable request, to reduce the risk of
+/// losing the request while the server closes the connection.
+const MAX_IDLE_NON_REPEATABLE: Duration = Duration::from_millis(1500);
+/// Maximum number of idle connections that are tried before a new one is opened.
+const MAX_REUSE_ATTEMPTS: usize = 4;
+
+/// Request to a backend server, with its limits.
+#[derive(Debug)]
+pub struct Send {
+    /// Id of the server process; connections are pooled by it.
+    pub server: Arc<str>,
+    /// Address of the server.
+    pub addr: SocketAddr,
+    /// HTTP request to send.
+    pub request: Request<Full<Bytes>>,
+    /// Maximum number of open connections to the server.
+    pub most_connections: u32,
+    /// True if the request may be sent again after its answer was lost.
+    pub is_repeatable: bool,
+    /// True if the connection is kept alive for the next request.
+    pub is_kept: bool,
+    /// Timeout of the whole exchange.
+    pub time_left: Duration,
+    /// Maximum size of the answer's body in bytes.
+    pub max_bytes: usize,
+    /// Set once the request is handed to a connection.
+    pub offered: Offered,
+}
+
+/// Flag that records whether a request was handed to a connection.
+///
+/// A waiter that gives up must report whether the request may have run. Nothing was sent while the
+/// connection was still being opened; reporting "may have run" in that case would keep the caller
+/// from retrying a request that must not run twice.
+#[derive(Debug, Clone, Default)]
+pub struct Offered(Rc<Cell<bool>>);
+
+impl Offered {
+    /// Records that the request may be written from now on.
+    pub fn mark(&self) {
+        self.0.set(true);
+    }
+
+    /// Records that the request was not sent, or was not run.
+    pub fn clear(&self) {
+        self.0.set(false);
+    }
+
+    /// Returns true if a server may have received the request.
+    #[must_use]
+    pub fn is_marked(&self) -> bool {
+        self.0.get()
+    }
+}
+
+/// Complete answer of a backend server.
+#[derive(Debug)]
+pub struct WireAnswer {
+    /// HTTP status.
+    pub status: StatusCode,
+    /// Response headers.
+    pub headers: HeaderMap,
+    /// Complete response body.
+    pub body: Bytes,
+}
+
+/// Pool of one thread's connections to all backend servers.
+#[derive(Debug, Default)]
+pub struct Lanes {
+    servers: RefCell<HashMap<Arc<str>, Rc<ServerPool>, foldhash::fast::RandomState>>,
+}
+
+#[derive(Debug, Default)]
+struct ServerPool {
+    idle: RefCell<Vec<Connection>>,
+    open_count: Rc<Cell<u32>>,
+}
+
+/// Open connection; dropping it closes the connection immediately.
+#[derive(Debug)]
+struct Connection {
+    sender: SendRequest<Full<Bytes>>,
+    driver: JoinHandle<()>,
+    open_count: Rc<Cell<u32>>,
+    idle_since: Instant,
+    idle_timeout: Duration,
+}
+
+impl Drop for Connection {
+    fn drop(&mut self) {
+        self.driver.abort();
+        self.open_count.set(self.open_count.get().saturating_sub(1));
+    }
+}
+
+impl Connection {
+    fn is_usable(&self, is_repeatable: bool) -> bool {
+        let max_idle = if is_repeatable {
+            self.idle_timeout
+        } else {
+            self.idle_timeout.min(MAX_IDLE_NON_REPEATABLE)
+        };
+        self.sender.is_ready() && self.idle_since.elapsed() < max_idle
+    }
+}
+
+impl Lanes {
+    /// Sends a request and reads its complete answer.
+    ///
+    /// # Errors
+    /// Fails with [`PartFailure::NotReached`], [`PartFailure::NotListening`] or
+    /// [`PartFailure::Crowded`] if no byte of the request was written.
+    pub async fn exchange(&self, send: Send) -> Result<WireAnswer, PartFailure> {
+        let time_left = send.time_left;
+        let offered = send.offered.clone();
+        let result = actix_rt::time::timeout(time_left, self.exchange_untimed(send)).await;
+        result.unwrap_or_else(|_| {
+            let is_connecting = !offered.is_marked();
+            Err(if is_connecting { connect_timed_out() } else { PartFailure::TimedOut })
+        })
+    }
+
+    async fn exchange_untimed(&self, send: Send) -> Result<WireAnswer, PartFailure> {
+        let pool = self.server_pool(&send.server);
+        let limits = AnswerLimits { is_kept: send.is_kept, max_bytes: send.max_bytes };
+        let mut request = send.request;
+        for _ in 0..MAX_REUSE_ATTEMPTS {
+            let Some(mut connection) = pool.take_idle(send.is_repeatable) else { break };
+            send.offered.mark();
+            match connection.sender.try_send_request(request).await {
+                Ok(answer) => return read_answer(pool, connection, answer, limits).await,
+                Err(mut error) => match error.take_message() {
+                    // The connection was closed before anything was written.
+                    Some(unsent) => {
+                        send.offered.clear();
+                        request = unsent;
+                    }
+                    None => return Err(PartFailure::Lost(error.into_error().to_string())),
+                },
+            }
+        }
+        let mut connection = pool.connect(send.addr, send.most_connections).await?;
+        send.offered.mark();
+        match connection.sender.try_send_request(request).await {
+            Ok(answer) => read_answer(pool, connection, answer, limits).await,
+            Err(mut error) => match error.take_message() {
+                Some(_) => Err(PartFailure::NotReached(error.into_error().to_string())),
+                None => Err(PartFailure::Lost(error.into_error().to_string())),
+            },
+        }
+    }
+
+    /// Opens a connection in advance if there is none.
+    ///
+    /// # Errors
+    /// Fails if the server can't be reached.
+    pub async fn warm(
+        &self,
+        server: &Arc<str>,
+        addr: SocketAddr,
+        most_connections: u32,
+    ) -> Result<(), PartFailure> {
+        let pool = self.server_pool(server);
+        if pool.open_count.get() > 0 {
+            return Ok(());
+        }
+        let connection = pool.connect(addr, most_connections).await?;
+        pool.idle.borrow_mut().push(connection);
+        Ok(())
+    }
+
+    /// Checks that a server still accepts connections by opening a new one.
+    ///
+    /// The connection is kept for the next request, replacing the lost one that prompted the check.
+    ///
+    /// # Errors
+    /// Fails with [`PartFailure::NotListening`] if the server process has ended.
+    pub async fn reach(
+        &self,
+        server: &Arc<str>,
+        addr: SocketAddr,
+        most_connections: u32,
+    ) -> Result<(), PartFailure> {
+        let pool = self.server_pool(server);
+        match pool.connect(addr, most_connections).await {
+            Ok(connection) => pool.idle.borrow_mut().push(connection),
+            // The connection limit is reached: open one outside the pool and close it immediately.
+            Err(PartFailure::Crowded) => drop(connect(addr).await?),
+            Err(failure) => return Err(failure),
+        }
+        Ok(())
+    }
+
+    /// Returns true if a connection is idle or another one may be opened.
+    #[must_use]
+    pub fn has_room(&self, server: &str, most_connections: u32) -> bool {
+        let servers = self.servers.borrow();
+        let Some(pool) = servers.get(server) else { return true };
+        !pool.idle.borrow().is_empty() || pool.open_count.get() < most_connections
+    }
+
+    /// Removes all servers that are not in `servers`, with their idle connections.
+    pub fn retain(&self, servers: &HashSet<Arc<str>>) {
+        self.servers.borrow_mut().retain(|server, _| servers.contains(server));
+    }
+
+    /// Returns the number of open connections to a server.
+    #[must_use]
+    pub fn open(&self, server: &str) -> u32 {
+        self.servers.borrow().get(server).map_or(0, |pool| pool.open_count.get())
+    }
+
+    fn server_pool(&self, server: &Arc<str>) -> Rc<ServerPool> {
+        Rc::clone(self.servers.borrow_mut().entry(Arc::clone(server)).or_default())
+    }
+}
+
+impl ServerPool {
+    /// Takes the most recently used idle connection, so that the others can time out.
+    fn take_idle(&self, is_repeatable: bool) -> Option<Connection> {
+        let mut idle = self.idle.borrow_mut();
+        idle.retain(|c| c.is_usable(true));
+        let connection = idle.pop()?;
+        if connection.is_usable(is_repeatable) {
+            return Some(connection);
+        }
+        idle.push(connection);
+        None
+    }
+
+    async fn connect(
+        &self,
+        addr: SocketAddr,
+        max_connections: u32,
+    ) -> Result<Connection, PartFailure> {
+        if self.open_count.get() >= max_connections.max(1) {
+            // Closes an idle connection that is too old for this request, to free its slot.
+            self.idle.borrow_mut().pop();
+        }
+        if self.open_count.get() >= max_connections.max(1) {
+            return Err(PartFailure::Crowded);
+        }
+        let slot = ConnectionSlot::acquire(&self.open_count);
+        let stream = connect(addr).await?;
+        if let Err(error) = stream.set_nodelay(true) {
+            log::debug!("failed to set TCP_NODELAY on the connection to {addr}: {error}");
+        }
+        metrics::counter!("eelgrasspier_backend_connections_total").increment(1);
+        let handshaken = handshake(TokioIo::new(stream)).await;
+        let not_reached = |e: hyper::Error| PartFailure::NotReached(e.to_string());
+        let (sender, connection) = handshaken.map_err(not_reached)?;
+        let driver = actix_rt::spawn(async move {
+            if let Err(error) = connection.await {
+                log::debug!("connection to {addr} ended: {error}");
+            }
+        });
+        Ok(Connection {
+            sender,
+            driver,
+            open_count: slot.commit(),
+            idle_since: Instant::now(),
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
+        })
+    }
+}
+
+/// Returns true if the server process has ended, that is, its address refuses connections.
+pub async fn has_ended(addr: SocketAddr) -> bool {
+    matches!(connect(addr).await, Err(PartFailure::NotListening))
+}
+
+async fn connect(addr: SocketAddr) -> Result<TcpStream, PartFailure> {
+    let result = actix_rt::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
+    result.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())).map_err(|error| {
+        match error.kind() {
+            io::ErrorKind::ConnectionRefused => PartFailure::NotListening,
+            io::ErrorKind::TimedOut => connect_timed_out(),
+            _ => PartFailure::NotReached(error.to_string()),
+        }
+    })
+}
+
+fn connect_timed_out() -> PartFailure {
+    PartFailure::NotReached("connect timed out".to_owned())
+}
+
+/// Counted slot of an open connection; released on drop unless it is committed.
+struct ConnectionSlot(Option<Rc<Cell<u32>>>);
+
+impl ConnectionSlot {
+    fn acquire(open_count: &Rc<Cell<u32>>) -> Self {
+        open_count.set(open_count.get() + 1);
+        Self(Some(Rc::clone(open_count)))
+    }
+
+    fn commit(mut self) -> Rc<Cell<u32>> {
+        self.0.take().unwrap_or_default()
+    }
+}
+
+impl Drop for ConnectionSlot {
+    fn drop(&mut self) {
+        if let Some(open_count) = &self.0 {
+            open_count.set(open_count.get().saturating_sub(1));
+        }
+    }
+}
+
+/// Limits on an answer, and whether its connection is kept alive.
+#[derive(Debug, Clone, Copy)]
+struct AnswerLimits {
+    is_kept: bool,
+    max_bytes: usize,
+}
+
+async fn read_answer(
+    pool: Rc<ServerPool>,
+    connection: Connection,
+    answer: Response<Incoming>,
+    AnswerLimits { is_kept, max_bytes }: AnswerLimits,
+) -> Result<WireAnswer, PartFailure> {
+    let (head, body) = answer.into_parts();
+    let body = Limited::new(body, max_bytes).collect().await.map_err(|error| match error
+        .downcast_ref::<LengthLimitError>(
+    ) {
+        Some(_) => PartFailure::TooLarge(max_bytes),
+        None => PartFailure::Lost(error.to_string()),
+    })?;
+    if is_kept && !has_close_token(&head.headers) {
+        release(pool, connection, stated_idle_timeout(&head.headers));
+    }
+    Ok(WireAnswer { status: head.status, headers: head.headers, body: body.to_bytes() })
+}
+
+/// Returns a connection to the pool once it is ready for the next request.
+fn release(pool: Rc<ServerPool>, mut connection: Connection, idle_timeout: Option<Duration>) {
+    connection.idle_timeout = idle_timeout.unwrap_or(connection.idle_timeout);
+    connection.idle_since = Instant::now();
+    actix_rt::spawn(async move {
+        if connection.sender.ready().await.is_ok() {
+            pool.idle.borrow_mut().push(connection);
+        }
+    });
+}
+
+fn has_close_token(headers: &HeaderMap) -> bool {
+    let values = headers.get_all(CONNECTION).into_iter().filter_map(|v| v.to_str().ok());
+    values.flat_map(|v| v.split(',')).any(|token| token.trim().eq_ignore_ascii_case("close"))
+}
+
+/// Returns the keep-alive timeout stated by the server, less [`KEEP_ALIVE_MARGIN`].
+fn stated_idle_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let header = headers.get("keep-alive")?.to_str().ok()?;
+    let seconds = header.split(',').find_map(|param| param.trim().strip_prefix("timeout="))?;
+    let stated = Duration::from_secs(seconds.trim().parse().ok()?);
+    Some(stated.saturating_sub(KEEP_ALIVE_MARGIN))
+}
--- a/crates/backend/tests/traps.rs
+++ b/crates/backend/tests/http_client.rs
@@ -1,4 +1,4 @@
-//! Traps of the HTTP client, each of which would break a promise.
+//! Tests of HTTP client behaviour that could break delivery guarantees.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -38,12 +38,12 @@
     read.len()
 }
 
-/// Symptom: a refusal says "not run" of a request that ran.
-/// Sequence: the server answers once; on the same connection it reads the next request
-/// whole and closes without an answer.
-/// Cause: the client names this a connect error, as if nothing had gone out.
+/// A request that was read but not answered must not be reported as "not run".
+///
+/// The server answers once, reads the next request on the same connection and closes it without an
+/// answer. The client reports this as a connect error, as if nothing had been sent.
 #[actix_rt::test]
-async fn a_request_that_was_read_and_not_answered_may_have_run() {
+async fn a_request_that_was_read_but_not_answered_may_have_run() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let server = actix_rt::spawn(async move {
@@ -52,22 +52,22 @@
         stream.write_all(ANSWER).await.unwrap();
         let second = read_request(&mut stream).await;
         drop(stream);
-        // The client must not have sent it again by itself.
-        let again = tokio::time::timeout(Duration::from_millis(300), listener.accept()).await;
-        (second, again.is_err())
+        // The client must not have retried the request itself.
+        let retry = tokio::time::timeout(Duration::from_millis(300), listener.accept()).await;
+        (second, retry.is_err())
     });
     let exchanger = HttpExchanger::new(Duration::from_secs(1));
-    let long = Duration::from_secs(5);
-    exchanger.exchange(request(addr, Kind::Query, long)).await.unwrap();
-    let failure = exchanger.exchange(request(addr, Kind::Query, long)).await.unwrap_err();
+    let timeout = Duration::from_secs(5);
+    exchanger.exchange(request(addr, Kind::Query, timeout)).await.unwrap();
+    let failure = exchanger.exchange(request(addr, Kind::Query, timeout)).await.unwrap_err();
     assert_eq!(failure.verdict(), Verdict::MayHaveRun, "{failure:?}");
-    let (second_bytes, is_not_sent_again) = server.await.unwrap();
-    assert!(second_bytes > 0 && is_not_sent_again);
+    let (second_bytes, is_not_retried) = server.await.unwrap();
+    assert!(second_bytes > 0 && is_not_retried);
 }
 
-/// Where nobody listens, no byte can have gone out.
+/// A refused connection can't have carried any byte of the request.
 #[actix_rt::test]
-async fn a_refused_connection_was_surely_not_run() {
+async fn a_refused_connection_means_not_run() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     drop(listener);
@@ -79,13 +79,12 @@
     assert_eq!(failure.verdict(), Verdict::NotRun);
 }
 
-/// Symptom: one silent server holds up the requests to all others.
-/// Sequence: many requests wait for a server that answers nothing; one goes to another.
-/// Cause: the client's own limit of connections counts over all hosts.
+/// Requests waiting for an unresponsive server must not block requests to another one. The client's
+/// own connection limit counts over all hosts.
 #[actix_rt::test]
-async fn a_silent_server_does_not_hold_up_another() {
-    let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let silent_addr = silent.local_addr().unwrap();
+async fn an_unresponsive_server_does_not_block_another() {
+    let unresponsive = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let unresponsive_addr = unresponsive.local_addr().unwrap();
     let healthy = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let healthy_addr = healthy.local_addr().unwrap();
     actix_rt::spawn(async move {
@@ -94,20 +93,22 @@
         stream.write_all(ANSWER).await.unwrap();
     });
     let exchanger = HttpExchanger::new(Duration::from_secs(1));
-    let long = Duration::from_mins(1);
+    let timeout = Duration::from_mins(1);
     let waiting: Vec<_> = (0..200)
-        .map(|_| actix_rt::spawn(exchanger.exchange(request(silent_addr, Kind::Query, long))))
+        .map(|_| {
+            actix_rt::spawn(exchanger.exchange(request(unresponsive_addr, Kind::Query, timeout)))
+        })
         .collect();
     tokio::task::yield_now().await;
-    let answer = exchanger.exchange(request(healthy_addr, Kind::Query, long)).await;
+    let answer = exchanger.exchange(request(healthy_addr, Kind::Query, timeout)).await;
     assert_eq!(answer.unwrap().body, "ok");
     assert!(waiting.iter().all(|task| !task.is_finished()));
     waiting.iter().for_each(tokio::task::JoinHandle::abort);
 }
 
-/// A run never reuses a connection, which the server might be closing just then.
+/// A run must not reuse a connection, since the server may be closing it at that moment.
 #[actix_rt::test]
-async fn each_run_has_a_connection_of_its_own() {
+async fn each_run_opens_a_new_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let server = actix_rt::spawn(async move {
@@ -115,7 +116,7 @@
             let (mut stream, _) = listener.accept().await.unwrap();
             read_request(&mut stream).await;
             stream.write_all(ANSWER).await.unwrap();
-            // The connection stays open on this side; the client must not use it again.
+            // The server keeps the connection open; the client must not reuse it.
             actix_rt::spawn(async move {
                 let mut rest = Vec::new();
                 let _closed = stream.read_to_end(&mut rest).await;
--- a/crates/backend/tests/lanes.rs
+++ b/crates/backend/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Connections held by hand: whole answers, lost answers, and what never went out.
+//! Tests of the connection pool: complete answers, lost answers and requests that were never sent.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// A server that reads a request and writes the next of the given bytes.
+/// Starts a server that answers each request with the next of the given texts.
 ///
-/// After an empty text it closes the connection without an answer; a text that ends with
-/// `!` is written without that and the connection closed.
+/// After an empty text it closes the connection without an answer. A text that ends with `!` is
+/// written without the `!`, and the connection is closed.
 async fn server(answers: &'static [&'static str]) -> (SocketAddr, Rc<RefCell<u32>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -40,19 +40,19 @@
 }
 
 async fn read_request(stream: &mut TcpStream) -> bool {
-    let mut seen = Vec::new();
+    let mut received = Vec::new();
     let mut byte = [0];
-    while !seen.ends_with(b"\r\n\r\n") {
+    while !received.ends_with(b"\r\n\r\n") {
         if stream.read_exact(&mut byte).await.is_err() {
             return false;
         }
-        seen.push(byte[0]);
+        received.push(byte[0]);
     }
     true
 }
 
-async fn get(lanes: &Lanes, addr: SocketAddr) -> Result<WireAnswer, PartFailure> {
-    exchange(lanes, send(addr)).await
+async fn get(pool: &Lanes, addr: SocketAddr) -> Result<WireAnswer, PartFailure> {
+    exchange(pool, send(addr)).await
 }
 
 fn send(addr: SocketAddr) -> Send {
@@ -73,82 +73,79 @@
     }
 }
 
-async fn exchange(lanes: &Lanes, send: Send) -> Result<WireAnswer, PartFailure> {
-    let result = lanes.exchange(send).await;
-    // The connection goes back once its driver has seen the end of the answer.
+async fn exchange(pool: &Lanes, send: Send) -> Result<WireAnswer, PartFailure> {
+    let result = pool.exchange(send).await;
+    // The connection returns to the pool once its driver has seen the end of the answer.
     tokio::time::sleep(Duration::from_millis(20)).await;
     result
 }
 
-const WHOLE: &str = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole";
+const COMPLETE_ANSWER: &str = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwhole";
 
 #[actix_rt::test]
-async fn a_connection_is_used_again_after_a_whole_answer() {
-    let (addr, connections) = server(&[WHOLE, WHOLE, WHOLE]).await;
-    let lanes = Lanes::default();
+async fn a_connection_is_reused_after_a_complete_answer() {
+    let (addr, connections) = server(&[COMPLETE_ANSWER, COMPLETE_ANSWER, COMPLETE_ANSWER]).await;
+    let pool = Lanes::default();
     for _ in 0..3 {
-        assert_eq!(&get(&lanes, addr).await.unwrap().body[..], b"whole");
+        assert_eq!(&get(&pool, addr).await.unwrap().body[..], b"whole");
     }
-    assert_eq!((*connections.borrow(), lanes.open("i-1")), (1, 1));
+    assert_eq!((*connections.borrow(), pool.open("i-1")), (1, 1));
 }
 
-/// Symptom: after a loss of power a service of two replicas reset a thousand connections.
-/// Sequence: each of 195 instances asked it now and then and kept its connection; a replica
-/// accepts 120 of all together.
-/// Cause: each instance may hold one whatever the others do, and an idle one counts as well.
+/// Idle connections must not exhaust the connections that a replica accepts.
+///
+/// A replica accepts 120 connections. 195 instances asked it occasionally, each kept its idle
+/// connection open, and after a power loss two replicas reset a thousand connections.
 #[actix_rt::test]
-async fn a_connection_that_is_not_kept_is_closed_after_the_answer() {
-    let (addr, connections) = server(&[WHOLE, WHOLE, WHOLE]).await;
-    let lanes = Lanes::default();
+async fn a_connection_without_keep_alive_is_closed_after_the_answer() {
+    let (addr, connections) = server(&[COMPLETE_ANSWER, COMPLETE_ANSWER, COMPLETE_ANSWER]).await;
+    let pool = Lanes::default();
     for _ in 0..3 {
         let once = Send { is_kept: false, ..send(addr) };
-        assert_eq!(&exchange(&lanes, once).await.unwrap().body[..], b"whole");
-        assert_eq!(lanes.open("i-1"), 0);
+        assert_eq!(&exchange(&pool, once).await.unwrap().body[..], b"whole");
+        assert_eq!(pool.open("i-1"), 0);
     }
     assert_eq!(*connections.borrow(), 3);
 }
 
-/// Symptom: a caller got half of an answer as a whole one.
-/// Sequence: a replica broke off in the middle of a chunked body; the connection ended.
-/// Cause it guards against: a client that takes the end of the connection for the end of
-/// the body, as the pooled client does where neither a chunk nor a length is missing it.
+/// An answer that breaks off in a chunked body must not pass as complete. The pooled client takes
+/// the end of the connection for the end of the body in such cases.
 #[actix_rt::test]
-async fn an_answer_that_ends_early_is_lost() {
+async fn a_truncated_answer_is_lost() {
     let answers: &[&str] = &[
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n!",
         "HTTP/1.1 200 OK\r\ncontent-length: 8\r\n\r\nhalf!",
         "",
     ];
     let (addr, _) = server(answers).await;
-    let lanes = Lanes::default();
+    let pool = Lanes::default();
     for _ in answers {
-        let failure = get(&lanes, addr).await.unwrap_err();
+        let failure = get(&pool, addr).await.unwrap_err();
         assert_eq!(failure.verdict(), Verdict::MayHaveRun, "{failure}");
     }
-    assert_eq!(lanes.open("i-1"), 0);
+    assert_eq!(pool.open("i-1"), 0);
 }
 
-/// Symptom: an answer went to the next request on the connection.
-/// Sequence: a replica sent a second answer after a complete one.
-/// Cause it guards against: going on with a connection that has bytes nobody asked for.
+/// Bytes after a complete answer must not be read as the answer to the next request. A replica may
+/// send a second answer to the same request.
 #[actix_rt::test]
-async fn a_connection_with_bytes_after_the_answer_is_never_used_again() {
-    let twice = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwholeHTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nother";
-    let (addr, connections) = server(Box::leak(Box::new([twice, WHOLE]))).await;
-    let lanes = Lanes::default();
-    assert_eq!(&get(&lanes, addr).await.unwrap().body[..], b"whole");
-    assert_eq!(&get(&lanes, addr).await.unwrap().body[..], b"whole");
+async fn a_connection_with_bytes_after_the_answer_is_not_reused() {
+    let two_answers = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwholeHTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nother";
+    let (addr, connections) = server(Box::leak(Box::new([two_answers, COMPLETE_ANSWER]))).await;
+    let pool = Lanes::default();
+    assert_eq!(&get(&pool, addr).await.unwrap().body[..], b"whole");
+    assert_eq!(&get(&pool, addr).await.unwrap().body[..], b"whole");
     assert_eq!(*connections.borrow(), 2);
 }
 
 #[actix_rt::test]
-async fn an_answer_without_a_length_is_whole_when_the_connection_ends_in_good_order() {
+async fn an_answer_without_a_length_ends_with_an_orderly_close() {
     let (addr, _) = server(&["HTTP/1.1 200 OK\r\n\r\nuntil the end!"]).await;
     assert_eq!(&get(&Lanes::default(), addr).await.unwrap().body[..], b"until the end");
 }
 
 #[actix_rt::test]
-async fn what_never_went_out_did_not_run() {
+async fn a_request_that_was_never_sent_did_not_run() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     drop(listener);
@@ -156,24 +153,22 @@
     assert_eq!(failure.verdict(), Verdict::NotRun, "{failure}");
 }
 
-/// Symptom: callers were told "may have run" of requests that had reached no server, and could
-/// not try them again.
-/// Sequence: a server was cut off; the request's time was over while a connection to it was
-/// still being set up.
-/// Cause: the end of the time was taken for the silence of a server.
+/// A timeout while the connection is still being opened must be reported as "not run". It was once
+/// reported as an unresponsive server, and callers could not retry requests that had never been
+/// sent.
 #[actix_rt::test]
-async fn a_request_whose_connection_is_not_set_up_in_time_has_not_run() {
+async fn a_connect_timeout_means_the_request_did_not_run() {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(1).unwrap();
     let addr = listener.local_addr().unwrap();
-    // Nobody accepts, and once the queue is full the opening packet is dropped.
+    // Nothing accepts connections, and once the queue is full SYN packets are dropped.
     let mut queued = Vec::new();
     let once = Duration::from_millis(50);
     while let Ok(Ok(stream)) = tokio::time::timeout(once, TcpStream::connect(addr)).await {
         queued.push(stream);
     }
-    let lanes = Lanes::default();
+    let pool = Lanes::default();
     let offered = Offered::default();
     let send = Send {
         server: "i-1".into(),
@@ -186,7 +181,7 @@
         is_kept: true,
         offered: offered.clone(),
     };
-    let failure = lanes.exchange(send).await.unwrap_err();
+    let failure = pool.exchange(send).await.unwrap_err();
     assert_eq!(failure.verdict(), Verdict::NotRun, "{failure}");
     assert!(!offered.is_marked());
 }
