--- a/crates/store/src/backoff.rs
+++ b/crates/store/src/backoff.rs
@@ -2,30 +2,30 @@
 
 use std::time::Duration;
 
-/// Pauses that double up to a bound, each drawn at random below it.
+/// Pauses that double up to a maximum, each with random jitter.
 #[derive(Debug, Clone)]
 pub struct Backoff {
-    least_ms: u64,
-    most_ms: u64,
+    min_ms: u64,
+    max_ms: u64,
     current_ms: u64,
 }
 
 impl Backoff {
-    /// Pauses from `least_ms` up to `most_ms`.
+    /// Creates a backoff with pauses from `min_ms` up to `max_ms`, in milliseconds.
     #[must_use]
-    pub fn new(least_ms: u64, most_ms: u64) -> Self {
-        Self { least_ms, most_ms, current_ms: least_ms }
+    pub fn new(min_ms: u64, max_ms: u64) -> Self {
+        Self { min_ms, max_ms, current_ms: min_ms }
     }
 
-    /// The next pause; between half of the bound and all of it.
+    /// Returns the next pause, drawn at random between half of the current pause and all of it.
     pub fn next_pause(&mut self) -> Duration {
-        let bound_ms = self.current_ms;
-        self.current_ms = (bound_ms * 2).min(self.most_ms);
-        Duration::from_millis(rand::random_range(bound_ms / 2..=bound_ms))
+        let pause_ms = self.current_ms;
+        self.current_ms = (pause_ms * 2).min(self.max_ms);
+        Duration::from_millis(rand::random_range(pause_ms / 2..=pause_ms))
     }
 
-    /// Starts over after a success.
+    /// Resets the pause to its minimum after a success.
     pub fn reset(&mut self) {
-        self.current_ms = self.least_ms;
+        self.current_ms = self.min_ms;
     }
 }
--- a/crates/store/src/claims.rs
+++ b/crates/store/src/claims.rs
@@ -1,8 +1,8 @@
 //! Claims of idempotency keys, batched into conditional updates of buckets.
 //!
-//! One task for each bucket with work; a batch is all that came while the last
-//! update was on its way. An update whose answer was lost is resolved by reading
-//! the bucket again and looking for the attempt's nonce.
+//! Each bucket with pending work has one task. A batch holds all claims and releases that arrived
+//! while the previous update was in flight. If the answer to an update is lost, the bucket is read
+//! again and searched for the attempt's nonce.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -18,33 +18,33 @@
 use crate::store::{ObjectStore, UpdateError};
 use crate::stored;
 
-/// Buckets over which keys are spread.
+/// Number of buckets that keys are distributed over.
 pub const BUCKETS: usize = 16;
-/// Least time between two updates of a bucket: 16 buckets make 200 a second.
-const LEAST_INTERVAL: Duration = Duration::from_millis(80);
-/// How long claims are kept, in milliseconds after the key's issue.
-pub const KEEP_MS: u64 = 15 * 60 * 1000;
-/// Most claims in one bucket; at 29 bytes each they stay well below a megabyte.
-const MOST_CLAIMS: usize = 25_000;
-/// Most given-up attempts of a bucket that wait to be released.
-const MOST_RELEASES: usize = 10_000;
-/// Time without any success after which claims are given up at the next failure.
+/// Minimum interval between two updates of a bucket; 16 buckets allow 200 updates per second.
+const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(80);
+/// Retention period of claims after the key was issued, in milliseconds.
+pub const RETENTION_MS: u64 = 15 * 60 * 1000;
+/// Maximum number of claims in a bucket; at 29 bytes each they take well below one megabyte.
+const MAX_CLAIMS: usize = 25_000;
+/// Maximum number of abandoned attempts per bucket that wait for release.
+const MAX_PENDING_RELEASES: usize = 10_000;
+/// Time without a successful platform call after which the next failure fails all waiting claims.
 const GIVE_UP_AFTER: Duration = Duration::from_millis(500);
-/// Time by which callers' clocks, which issue keys, may be ahead, in milliseconds.
-const MOST_AHEAD_MS: u64 = 2_000;
-/// Shortest and longest pause between tries, in milliseconds.
-const PAUSE_MS: (u64, u64) = (10, 1_000);
+/// Allowed clock skew, in milliseconds, of callers that issue keys ahead of the local clock.
+const MAX_CLOCK_SKEW_MS: u64 = 2_000;
+/// Minimum and maximum pause between retries, in milliseconds.
+const RETRY_PAUSE_MS: (u64, u64) = (10, 1_000);
 
-/// The claim could not be resolved in time; nothing may be sent.
+/// Error of a claim that was not resolved in time; the request must not be sent.
 #[derive(Debug, Display, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ClaimError {
     /// the platform did not confirm the claim in time
     Unavailable,
 }
 
-/// One attempt that waits for its claim.
+/// Attempt that waits for its claim.
 #[derive(Debug)]
-struct Waiting {
+struct PendingClaim {
     key: Key,
     nonce: Nonce,
     until: Instant,
@@ -53,25 +53,26 @@
 
 #[derive(Debug, Default)]
 struct BucketState {
-    waiting: Vec<Waiting>,
+    waiting: Vec<PendingClaim>,
     releases: VecDeque<(Key, Nonce)>,
     is_running: bool,
-    /// Whether it is to be written though nobody waits for a claim.
-    must_settle: bool,
-    known: Option<(Option<u64>, Bucket)>,
-    /// As last confirmed: what a restored platform may lack.
-    remembered: Bucket,
+    /// True if the bucket must be written even though no claim is waiting.
+    must_rewrite: bool,
+    cached: Option<(Option<u64>, Bucket)>,
+    /// Last confirmed content, which a restored platform may lack.
+    last_confirmed: Bucket,
     last_update: Option<Instant>,
 }
 
-/// Claims of idempotency keys by way of the platform.
+/// Claims of idempotency keys, stored on the platform.
 #[derive(Clone)]
 pub struct Claims {
     store: Rc<dyn ObjectStore>,
     buckets: Rc<Vec<RefCell<BucketState>>>,
-    /// Since when no call to the platform has succeeded.
+    /// Time of the first failure since the last successful platform call.
     failing_since: Rc<Cell<Option<Instant>>>,
-    /// The platform's era, and when it was first seen, in milliseconds since the epoch.
+    /// Current era of the platform and the time it was first seen, in milliseconds since the Unix
+    /// epoch.
     era_seen: Rc<Cell<(u64, u64)>>,
 }
 
@@ -81,17 +82,17 @@
     }
 }
 
-/// Bucket that a key falls into.
+/// Returns the bucket of a key.
 #[must_use]
 pub fn bucket_of(key: Key) -> usize {
     const SEED: u64 = 0x6275_636b;
-    let half = u64::try_from(key.0 & u128::from(u64::MAX)).unwrap_or_default();
-    let spread = rendezvous::weight(SEED, half) % BUCKETS as u64;
-    usize::try_from(spread).unwrap_or_default()
+    let low_half = u64::try_from(key.0 & u128::from(u64::MAX)).unwrap_or_default();
+    let index = rendezvous::weight(SEED, low_half) % BUCKETS as u64;
+    usize::try_from(index).unwrap_or_default()
 }
 
 impl Claims {
-    /// Claims kept in `store`.
+    /// Creates claims that are stored in `store`.
     #[must_use]
     pub fn new(store: Rc<dyn ObjectStore>) -> Self {
         let buckets = (0..BUCKETS).map(|_| RefCell::default()).collect();
@@ -103,28 +104,28 @@
         }
     }
 
-    /// Claims `key` for the own attempt `nonce`; resolved by `until` at the latest.
+    /// Claims `key` for the local attempt `nonce`; resolved by `until` at the latest.
     ///
     /// # Errors
-    /// Fails if the platform did not confirm in time. The attempt must then be
-    /// given up; its claim, should it have taken effect, is released later.
+    /// Fails if the platform did not confirm in time. The attempt must then be abandoned. If its
+    /// claim took effect nevertheless, it is released later.
     pub async fn claim(
         &self,
         key: Key,
         nonce: Nonce,
         until: Instant,
     ) -> Result<Outcome, ClaimError> {
-        let mut pending = Pending { claims: self, key, nonce, is_open: true };
+        let mut pending = UnresolvedClaim { claims: self, key, nonce, is_unresolved: true };
         let outcome = self.claim_on_behalf(key, nonce, until).await?;
-        pending.is_open = false;
+        pending.is_unresolved = false;
         Ok(outcome)
     }
 
-    /// Claims `key` for an attempt of another instance, which never is released here.
+    /// Claims `key` for an attempt of another instance; such a claim is never released here.
     ///
-    /// Only the instance that would send knows that it never will. A release by
-    /// anybody else could take the claim away from an attempt that has just found
-    /// it granted; the caller's retry would then run a second time.
+    /// Only the instance that would send the request knows that it never will. A release by another
+    /// instance could remove the claim of an attempt that has just seen it granted, and the
+    /// caller's retry would then run a second time.
     ///
     /// # Errors
     /// Fails if the platform did not confirm in time.
@@ -136,21 +137,21 @@
     ) -> Result<Outcome, ClaimError> {
         let (done, resolved) = oneshot::channel();
         let bucket = bucket_of(key);
-        self.buckets[bucket].borrow_mut().waiting.push(Waiting { key, nonce, until, done });
+        self.buckets[bucket].borrow_mut().waiting.push(PendingClaim { key, nonce, until, done });
         self.start(bucket);
-        let waited = tokio::time::timeout_at(until.into(), resolved).await;
-        waited.ok().and_then(Result::ok).ok_or(ClaimError::Unavailable)
+        let result = tokio::time::timeout_at(until.into(), resolved).await;
+        result.ok().and_then(Result::ok).ok_or(ClaimError::Unavailable)
     }
 
-    /// Gives back the claim of an attempt that surely never sent anything.
+    /// Releases the claim of an attempt that never sent anything.
     ///
-    /// Without it a key whose claim took effect though its answer was lost would
-    /// be refused on the caller's retry, and its request never run at all.
+    /// If a claim took effect but its answer was lost, the caller's retry would otherwise be
+    /// refused and the request would never run.
     pub fn release(&self, key: Key, nonce: Nonce) {
         let bucket = bucket_of(key);
         {
             let mut state = self.buckets[bucket].borrow_mut();
-            if state.releases.len() >= MOST_RELEASES {
+            if state.releases.len() >= MAX_PENDING_RELEASES {
                 state.releases.pop_front();
             }
             state.releases.push_back((key, nonce));
@@ -158,9 +159,9 @@
         self.start(bucket);
     }
 
-    /// Makes a bucket safe to claim in again after a restore of the platform.
+    /// Schedules a write of a bucket that makes it safe for claims after the platform was restored.
     pub fn settle(&self, bucket: usize) {
-        self.buckets[bucket].borrow_mut().must_settle = true;
+        self.buckets[bucket].borrow_mut().must_rewrite = true;
         self.start(bucket);
     }
 
@@ -168,30 +169,30 @@
         let mut state = self.buckets[bucket].borrow_mut();
         if !state.is_running {
             state.is_running = true;
-            actix_rt::spawn(self.clone().run(bucket));
+            actix_rt::spawn(self.clone().process(bucket));
         }
     }
 
-    /// Works until the bucket has no claim and no release left.
-    async fn run(self, bucket: usize) {
-        let mut backoff = Backoff::new(PAUSE_MS.0, PAUSE_MS.1);
-        while self.has_work(bucket) {
-            self.keep_interval(bucket).await;
+    /// Processes the bucket until it has no pending claim or release.
+    async fn process(self, bucket: usize) {
+        let mut backoff = Backoff::new(RETRY_PAUSE_MS.0, RETRY_PAUSE_MS.1);
+        while self.prune_and_check_work(bucket) {
+            self.wait_for_interval(bucket).await;
             if self.step(bucket).await.is_ok() {
                 self.failing_since.set(None);
                 backoff.reset();
             } else {
-                self.note_failure(bucket);
+                self.on_failure(bucket);
                 tokio::time::sleep(backoff.next_pause()).await;
             }
         }
     }
 
-    /// Gives up the waiting claims once the platform has been failing for a while.
+    /// Fails the waiting claims once the platform has been failing for [`GIVE_UP_AFTER`].
     ///
-    /// Callers then learn at once that nothing was run and when to come back; to
-    /// hold each of them until its deadline would help nobody in a long outage.
-    fn note_failure(&self, bucket: usize) {
+    /// Callers then learn immediately that nothing was run and when to retry. Holding each of them
+    /// until its deadline would not help in a long outage.
+    fn on_failure(&self, bucket: usize) {
         let since = self.failing_since.get().unwrap_or_else(Instant::now);
         self.failing_since.set(Some(since));
         if since.elapsed() >= GIVE_UP_AFTER {
@@ -199,71 +200,71 @@
         }
     }
 
-    fn has_work(&self, bucket: usize) -> bool {
+    fn prune_and_check_work(&self, bucket: usize) -> bool {
         let mut state = self.buckets[bucket].borrow_mut();
         let now = Instant::now();
         state.waiting.retain(|w| w.until > now && !w.done.is_closed());
         state.is_running =
-            !state.waiting.is_empty() || !state.releases.is_empty() || state.must_settle;
+            !state.waiting.is_empty() || !state.releases.is_empty() || state.must_rewrite;
         state.is_running
     }
 
-    async fn keep_interval(&self, bucket: usize) {
+    async fn wait_for_interval(&self, bucket: usize) {
         let last = self.buckets[bucket].borrow().last_update;
         if let Some(last) = last {
-            tokio::time::sleep_until((last + LEAST_INTERVAL).into()).await;
+            tokio::time::sleep_until((last + MIN_UPDATE_INTERVAL).into()).await;
         }
     }
 
-    /// One read where needed, and one conditional update of all that waits.
+    /// Reads the bucket if necessary and applies all pending changes in one conditional update.
     async fn step(&self, bucket: usize) -> Result<(), ()> {
-        let (version, known) = self.known(bucket).await?;
-        let era = known.era;
-        self.resolve(bucket, &known);
+        let (version, current) = self.load(bucket).await?;
+        let era = current.era;
+        self.resolve(bucket, &current);
         let batch = self.batch(bucket);
-        // What is not there has no claims to lose.
-        let must_settle =
-            std::mem::take(&mut self.buckets[bucket].borrow_mut().must_settle) && version.is_some();
-        if batch.is_empty() && !must_settle {
+        // A bucket that does not exist has no claims to lose.
+        let must_rewrite = std::mem::take(&mut self.buckets[bucket].borrow_mut().must_rewrite)
+            && version.is_some();
+        if batch.is_empty() && !must_rewrite {
             return Ok(());
         }
-        let mut next = known;
-        next.raise_floor(now_ms().saturating_sub(KEEP_MS), MOST_CLAIMS);
+        let mut next = current;
+        next.raise_floor(now_ms().saturating_sub(RETENTION_MS), MAX_CLAIMS);
         let next = next.with(&batch);
         let name = stored::bucket_object(bucket);
         let updated = self.store.update(&name, version, stored::encode_bucket(&next)).await;
         let mut state = self.buckets[bucket].borrow_mut();
         state.last_update = Some(Instant::now());
-        state.known = None;
+        state.cached = None;
         match updated {
             Ok(version) => {
-                state.known = Some((Some(version), next.clone()));
-                state.remembered = next.clone();
+                state.cached = Some((Some(version), next.clone()));
+                state.last_confirmed = next.clone();
                 drop(state);
-                self.forget_releases(bucket, &batch);
+                self.remove_confirmed_releases(bucket, &batch);
                 self.resolve(bucket, &next);
                 Ok(())
             }
-            // The next step reads the bucket again and looks for the nonces.
+            // The next step reads the bucket again and searches for the nonces.
             Err(UpdateError::Conflict) => Ok(()),
             Err(UpdateError::Unknown(_)) if self.store.era() != era => Ok(()),
             Err(UpdateError::NotApplied(_) | UpdateError::Unknown(_)) => {
-                state.must_settle = must_settle;
+                state.must_rewrite = must_rewrite;
                 Err(())
             }
         }
     }
 
-    async fn known(&self, bucket: usize) -> Result<(Option<u64>, Bucket), ()> {
-        let known = self.buckets[bucket].borrow().known.clone();
-        if let Some(known) = known.filter(|(_, known)| known.era == self.store.era()) {
-            return Ok(known);
+    async fn load(&self, bucket: usize) -> Result<(Option<u64>, Bucket), ()> {
+        let cached = self.buckets[bucket].borrow().cached.clone();
+        if let Some(cached) = cached.filter(|(_, cached)| cached.era == self.store.era()) {
+            return Ok(cached);
         }
         let name = stored::bucket_object(bucket);
         let read = self.store.read(&name).await.map_err(|_| ())?;
         let era = self.store.era();
-        self.note_era(era);
-        let mut known = match read {
+        self.record_era(era);
+        let mut cached = match read {
             None => (None, Bucket::default()),
             Some(object) => {
                 let decoded = stored::decode_bucket(&object.value).map_err(|_| ())?;
@@ -271,38 +272,39 @@
             }
         };
         let mut state = self.buckets[bucket].borrow_mut();
-        if known.1.era != era {
-            // One that is not there may never have been: then only keys of before this era count.
-            let from_ms = if known.0.is_some() { now_ms() } else { self.era_seen.get().1 };
-            let floor_ms = from_ms + MOST_AHEAD_MS;
+        if cached.1.era != era {
+            // The missing bucket may never have existed, so only keys issued before this era are
+            // refused.
+            let from_ms = if cached.0.is_some() { now_ms() } else { self.era_seen.get().1 };
+            let floor_ms = from_ms + MAX_CLOCK_SKEW_MS;
             log::warn!(
-                "bucket {bucket} is of era {}, the platform of {era}: keys before {floor_ms} are refused",
-                known.1.era
+                "bucket {bucket} is from era {}, platform is in era {era}: refusing keys issued before {floor_ms} ms",
+                cached.1.era
             );
-            known.1.enter(era, floor_ms, &state.remembered);
+            cached.1.enter(era, floor_ms, &state.last_confirmed);
         }
-        state.known = Some(known.clone());
-        Ok(known)
+        state.cached = Some(cached.clone());
+        Ok(cached)
     }
 
-    /// Notes when an era was first seen here.
-    fn note_era(&self, era: u64) {
+    /// Records the time when an era is first seen.
+    fn record_era(&self, era: u64) {
         if self.era_seen.get().0 != era {
             self.era_seen.set((era, now_ms()));
         }
     }
 
-    /// Answers the attempts whose outcome the bucket shows.
-    fn resolve(&self, bucket: usize, known: &Bucket) {
+    /// Resolves the attempts whose outcome is in the bucket.
+    fn resolve(&self, bucket: usize, current: &Bucket) {
         let mut state = self.buckets[bucket].borrow_mut();
         let waiting = std::mem::take(&mut state.waiting);
-        for one in waiting {
-            let Some(outcome) = known.outcome(one.key, one.nonce) else {
-                state.waiting.push(one);
+        for pending in waiting {
+            let Some(outcome) = current.outcome(pending.key, pending.nonce) else {
+                state.waiting.push(pending);
                 continue;
             };
-            // Where nobody listens any more, the attempt's guard releases.
-            let _gone = one.done.send(outcome).is_err();
+            // If the receiver is gone, the attempt's guard releases the claim.
+            let _is_dropped = pending.done.send(outcome).is_err();
         }
     }
 
@@ -313,28 +315,28 @@
         releases.chain(claims).collect()
     }
 
-    /// Forgets the releases of a confirmed batch.
+    /// Removes the releases of a confirmed batch.
     ///
-    /// Only a confirmed update ends a release, also where the bucket did not hold
-    /// the claim: an earlier update on its way could still bring it, and can not
-    /// once the bucket's version has moved.
-    fn forget_releases(&self, bucket: usize, batch: &[Change]) {
+    /// Only a confirmed update completes a release, even if the bucket did not hold the claim. An
+    /// earlier update in flight could still add the claim, but no longer once the bucket's version
+    /// has changed.
+    fn remove_confirmed_releases(&self, bucket: usize, batch: &[Change]) {
         let mut state = self.buckets[bucket].borrow_mut();
         state.releases.retain(|&(key, nonce)| !batch.contains(&Change::Release(key, nonce)));
     }
 }
 
-/// An unresolved claim; dropped without an outcome, it is released.
-struct Pending<'a> {
+/// Unresolved claim; released if it is dropped without an outcome.
+struct UnresolvedClaim<'a> {
     claims: &'a Claims,
     key: Key,
     nonce: Nonce,
-    is_open: bool,
+    is_unresolved: bool,
 }
 
-impl Drop for Pending<'_> {
+impl Drop for UnresolvedClaim<'_> {
     fn drop(&mut self) {
-        if self.is_open {
+        if self.is_unresolved {
             self.claims.release(self.key, self.nonce);
         }
     }
--- a/crates/store/src/collections.rs
+++ b/crates/store/src/collections.rs
@@ -1,4 +1,4 @@
-//! The store's collections of objects, as the router's control thread sees them.
+//! Interface to the store's collections, used by the router's control thread.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,23 +13,23 @@
 
 use crate::StoreFuture;
 
-/// One kind of objects.
+/// Kind of collection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// Entries of replicas.
+    /// Replica entries.
     Replicas,
     /// The operators' configuration.
     Configuration,
-    /// Instances of the system, written by themselves.
+    /// Instance entries, each written by the instance itself.
     Instances,
-    /// Requests under which replicas have ended.
+    /// Requests that crashed replicas.
     Suspects,
-    /// Availability zones whose replicas are to get nothing, as operators ask.
+    /// Availability zones that operators have evacuated; their replicas receive no requests.
     Evacuations,
 }
 
 impl Kind {
-    /// Its name in metrics.
+    /// Returns the kind's label in metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -42,67 +42,69 @@
     }
 }
 
-/// A call of the store brought nothing.
+/// Error of a store call.
 #[derive(Debug, Display, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CollectionError {
-    /// the store does not have the changes that were asked for
+    /// the store no longer has the requested changes
     HistoryGone {
-        /// How often it has been restored, where it says so.
+        /// Number of restores of the store, if reported.
         era: Option<u64>,
     },
     /// the store does not answer: {0}
     Unavailable(String),
-    /// the store's answer makes no sense: {0}
+    /// invalid answer from the store: {0}
     Malformed(String),
 }
 
-/// What the store answered.
+/// Answer of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// How often the store had been restored from a copy, where it says so.
+    /// Number of restores of the store from a backup, if reported.
     pub era: Option<u64>,
-    /// What it said, in no era yet.
+    /// Objects and changes, with no era assigned yet.
     pub changes: Changes,
 }
 
-/// An instance as it announces itself.
+/// Entry that an instance publishes about itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Announcement {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// Where it takes connections of other instances.
+    /// Address at which it accepts connections from other instances.
     pub peer_addr: std::net::SocketAddr,
-    /// Instances of the whole fleet, as it knows them; 0 where it does not say.
+    /// Number of instances in the fleet known to it; 0 if not stated.
     pub instances: u64,
 }
 
-/// A request under which replicas have ended, as it is kept.
+/// Persisted record of a request that crashed replicas.
 ///
-/// Instances tell each other, but after a loss of all of them only the store still knows.
+/// Instances exchange these reports, but after a loss of all instances only the store still has
+/// them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeptRequest {
-    /// What is known of it, but for the time for which it is refused.
+    /// Report about the request, without its refusal time.
     pub report: Report,
-    /// Until when it is refused, in milliseconds since the epoch; 0 if it is only suspected.
+    /// Time until which the request is refused, in milliseconds since the Unix epoch; 0 if it is
+    /// only suspected.
     pub refused_until_ms: u64,
-    /// When it is forgotten, in milliseconds since the epoch.
+    /// Expiry time of the record, in milliseconds since the Unix epoch.
     pub forgotten_ms: u64,
 }
 
-/// The store's collections.
+/// Collections of the store.
 pub trait Collections {
-    /// All objects of a kind.
+    /// Lists all objects of a kind.
     ///
-    /// With `may_be_stale` they may be some seconds old, which costs the store less.
+    /// With `may_be_stale` the answer may be a few seconds old, which costs the store less.
     fn list(
         &self,
         kind: Kind,
         may_be_stale: bool,
     ) -> StoreFuture<'_, Result<Answer, CollectionError>>;
 
-    /// Changes above `since`, as soon as there is one or `wait` is over.
+    /// Waits up to `wait` for changes after revision `since`.
     fn watch(
         &self,
         kind: Kind,
@@ -110,51 +112,51 @@
         wait: Duration,
     ) -> StoreFuture<'_, Result<Answer, CollectionError>>;
 
-    /// Changes above `since` that there are now; they may be some seconds old.
+    /// Returns the current changes after revision `since`; they may be a few seconds old.
     fn poll(&self, kind: Kind, since: u64) -> StoreFuture<'_, Result<Answer, CollectionError>>;
 
-    /// Writes this instance's own entry.
+    /// Writes the entry of this instance.
     fn announce<'a>(
         &'a self,
         announcement: &'a Announcement,
     ) -> StoreFuture<'a, Result<(), CollectionError>>;
 
-    /// Keeps such a request.
+    /// Persists a record of such a request.
     fn keep<'a>(&'a self, kept: &'a KeptRequest) -> StoreFuture<'a, Result<(), CollectionError>>;
 
-    /// Removes a request that was kept.
+    /// Deletes the record of a request.
     fn forget(&self, request: Fingerprint) -> StoreFuture<'_, Result<(), CollectionError>>;
 
-    /// Removes the entry of an instance that is gone for good.
+    /// Deletes the entry of an instance that has left permanently.
     fn withdraw<'a>(&'a self, name: &'a str) -> StoreFuture<'a, Result<(), CollectionError>>;
 }
 
-/// Reads the contents of the store's objects.
+/// Decodes the contents of stored objects.
 pub trait Decode: std::fmt::Debug + Send + Sync {
-    /// A replica's entry.
+    /// Decodes a replica entry.
     ///
     /// # Errors
-    /// Fails with a text that names the field.
+    /// Fails with a message that names the field.
     fn replica(&self, name: &str, content: &Bytes) -> Result<ReplicaEntry, String>;
 
-    /// The operators' configuration.
+    /// Decodes the operators' configuration.
     ///
     /// # Errors
-    /// Fails with a text that names the field.
+    /// Fails with a message that names the field.
     fn configuration(&self, content: &Bytes) -> Result<Configuration, String>;
 
-    /// The zone that an entry evacuates, whatever else it says.
+    /// Returns the zone that an evacuation entry names, whatever its other fields contain.
     fn evacuated_zone(&self, name: &str, content: &Bytes) -> Arc<str>;
 
-    /// An instance's own entry.
+    /// Decodes the entry of an instance.
     ///
     /// # Errors
-    /// Fails with a text that names the field.
+    /// Fails with a message that names the field.
     fn instance(&self, name: &str, content: &Bytes) -> Result<Announcement, String>;
 
-    /// A request that was kept since replicas have ended under it.
+    /// Decodes the persisted record of a request that crashed replicas.
     ///
     /// # Errors
-    /// Fails with a text that names the field.
+    /// Fails with a message that names the field.
     fn kept_request(&self, name: &str, content: &Bytes) -> Result<KeptRequest, String>;
 }
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -1,4 +1,4 @@
-//! The object API over HTTP.
+//! Object API over HTTP.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -12,16 +12,16 @@
 
 use crate::store::{ListedInstance, Object, ObjectStore, ReadError, StoreFuture, UpdateError};
 
-/// Says how often the platform has been restored from a copy.
+/// Header with the number of times that the platform was restored from a backup.
 const ERA: &str = "store-era";
-/// Largest object that is read, in bytes; the platform holds up to a megabyte.
+/// Maximum size of an object in bytes; the platform stores up to one megabyte.
 const MAX_OBJECT_BYTES: usize = 1 << 20;
-/// Connections to the platform of one process.
+/// Maximum number of connections from one process to the platform.
 const MAX_CONNECTIONS: usize = 16;
-/// Time in milliseconds that a watch's answer may lag behind its own wait.
+/// Time in milliseconds that the answer to a watch may take beyond its wait time.
 const WATCH_MARGIN_MS: u64 = 2_000;
 
-/// The platform's object API at one base address.
+/// Client for the platform's object API at one base address.
 #[derive(Clone)]
 pub struct HttpStore {
     base: String,
@@ -37,9 +37,10 @@
 }
 
 impl HttpStore {
-    /// A client for the API at `base`, such as `http://127.0.0.1:7000`.
+    /// Creates a client for the API at `base`, such as `http://127.0.0.1:7000`.
     ///
-    /// Must be called on the thread that will use it.
+    /// The client must be used on the calling thread only. `timeout_ms` is the timeout of each call
+    /// except watches, in milliseconds.
     #[must_use]
     pub fn new(base: &str, timeout_ms: u64) -> Self {
         let connector =
@@ -56,31 +57,35 @@
         }
     }
 
-    /// The version that an answer tells, in its era.
+    /// Returns the version in an answer's headers, within its era.
     ///
     /// # Errors
-    /// Fails with a text if there is none, or if the answer was made before a restore.
-    fn version_of(&self, headers: &header::HeaderMap, asked_in: u64) -> Result<u64, String> {
+    /// Fails with a message if there is no version or the answer predates a restore.
+    fn version_of(&self, headers: &header::HeaderMap, request_era: u64) -> Result<u64, String> {
         let etag = headers.get(header::ETAG).and_then(|tag| tag.to_str().ok());
         let version = etag.and_then(|tag| tag.trim_matches('"').parse().ok());
         let revision = version.ok_or_else(|| format!("no version in ETag {etag:?}"))?;
-        self.take_era(headers, asked_in)?;
+        self.update_era(headers, request_era)?;
         Ok(Position { era: self.era(), revision }.to_number())
     }
 
-    /// Takes in the era that an answer tells.
-    fn take_era(&self, headers: &header::HeaderMap, asked_in: u64) -> Result<(), String> {
+    /// Applies the era in an answer's headers.
+    fn update_era(&self, headers: &header::HeaderMap, request_era: u64) -> Result<(), String> {
         let text = headers.get(ERA).and_then(|era| era.to_str().ok());
         let era = text.and_then(|era| era.trim().parse().ok());
         let before = self.era();
-        match self.eras.borrow_mut().take(era, asked_in, false) {
+        match self.eras.borrow_mut().take(era, request_era, false) {
             Told::Same => {}
             Told::Restored => {
-                log::warn!("platform restored from a copy: era {text:?}, before {before}");
+                log::warn!(
+                    "platform was restored from a backup: era {text:?}, previously {before}"
+                );
                 metrics::counter!("eelgrasspier_platform_restores_total").increment(1);
             }
-            Told::Late => return Err(format!("answer of era {text:?}, known {before}")),
-            Told::Back => log::debug!("platform tells era {text:?}, known {before}"),
+            Told::Late => {
+                return Err(format!("answer from earlier era {text:?}, current era is {before}"));
+            }
+            Told::Back => log::debug!("platform reports earlier era {text:?}, previously {before}"),
         }
         Ok(())
     }
@@ -90,18 +95,19 @@
     }
 
     async fn get(&self, url: &str, timeout_ms: u64) -> Result<Option<Object>, ReadError> {
-        let asked_in = self.era();
-        let sent = self.client.get(url).timeout(Duration::from_millis(timeout_ms)).send().await;
-        let mut answer = sent.map_err(|e| ReadError::Unavailable(e.to_string()))?;
+        let request_era = self.era();
+        let result = self.client.get(url).timeout(Duration::from_millis(timeout_ms)).send().await;
+        let mut answer = result.map_err(|e| ReadError::Unavailable(e.to_string()))?;
         match answer.status() {
             StatusCode::OK => {}
             StatusCode::NOT_FOUND | StatusCode::NOT_MODIFIED => {
-                self.take_era(answer.headers(), asked_in).map_err(ReadError::Unavailable)?;
+                self.update_era(answer.headers(), request_era).map_err(ReadError::Unavailable)?;
                 return Ok(None);
             }
             status => return Err(ReadError::Unavailable(format!("status {status}"))),
         }
-        let version = self.version_of(answer.headers(), asked_in).map_err(ReadError::Malformed)?;
+        let version =
+            self.version_of(answer.headers(), request_era).map_err(ReadError::Malformed)?;
         let body = answer.body().limit(MAX_OBJECT_BYTES).await;
         let value = body.map_err(|e| ReadError::Unavailable(e.to_string()))?;
         Ok(Some(Object { version, value }))
@@ -121,16 +127,16 @@
             }
             None => request.insert_header((header::IF_NONE_MATCH, "*")),
         };
-        let asked_in = self.era();
+        let request_era = self.era();
         let answer = request.send_body(value).await.map_err(|e| update_error(&e))?;
         match answer.status() {
             StatusCode::OK | StatusCode::CREATED | StatusCode::NO_CONTENT => {
-                let version = self.version_of(answer.headers(), asked_in);
+                let version = self.version_of(answer.headers(), request_era);
                 let version = version.map_err(UpdateError::Unknown)?;
                 let era = Position::from_number(version).era;
-                let is_other = |expected| Position::from_number(expected).era != era;
-                if expected.is_some_and(is_other) || era != asked_in {
-                    let text = format!("the platform was restored: era {era}");
+                let is_other_era = |expected| Position::from_number(expected).era != era;
+                if expected.is_some_and(is_other_era) || era != request_era {
+                    let text = format!("the platform was restored during the update: era {era}");
                     return Err(UpdateError::Unknown(text));
                 }
                 Ok(version)
@@ -144,7 +150,8 @@
     }
 }
 
-/// Only a failure before any byte could go out says that nothing took effect.
+/// Classifies an error of an update: only a failure before any byte was sent proves that the update
+/// did not take effect.
 fn update_error(error: &SendRequestError) -> UpdateError {
     match error {
         SendRequestError::Connect(ConnectError::Timeout | ConnectError::Resolver(_)) => {
@@ -159,13 +166,13 @@
     }
 }
 
-fn count(kind: &'static str) {
+fn count_call(kind: &'static str) {
     metrics::counter!("eelgrasspier_platform_calls_total", "kind" => kind).increment(1);
 }
 
 impl ObjectStore for HttpStore {
     fn read<'a>(&'a self, name: &'a str) -> StoreFuture<'a, Result<Option<Object>, ReadError>> {
-        count("read");
+        count_call("read");
         Box::pin(async move { self.get(&self.object_url(name), self.timeout_ms).await })
     }
 
@@ -175,8 +182,8 @@
         after: u64,
         wait_ms: u64,
     ) -> StoreFuture<'a, Result<Option<Object>, ReadError>> {
-        count("watch");
-        // After a restore whatever there is has changed.
+        count_call("watch");
+        // After a restore, every object counts as changed.
         let Position { era, revision } = Position::from_number(after);
         let after = if era == self.era() { revision } else { 0 };
         let url = format!("{}?watch_after={after}&wait_ms={wait_ms}", self.object_url(name));
@@ -189,7 +196,7 @@
         expected: Option<u64>,
         value: Bytes,
     ) -> StoreFuture<'a, Result<u64, UpdateError>> {
-        count("update");
+        count_call("update");
         Box::pin(self.put(name, expected, value))
     }
 
@@ -198,13 +205,13 @@
     }
 
     fn instances(&self) -> StoreFuture<'_, Result<Vec<ListedInstance>, ReadError>> {
-        count("instances");
+        count_call("instances");
         Box::pin(async move {
             let url = format!("{}/instances", self.base);
-            let asked_in = self.era();
-            let sent = self.client.get(url).send().await;
-            let mut answer = sent.map_err(|e| ReadError::Unavailable(e.to_string()))?;
-            self.take_era(answer.headers(), asked_in).map_err(ReadError::Unavailable)?;
+            let request_era = self.era();
+            let result = self.client.get(url).send().await;
+            let mut answer = result.map_err(|e| ReadError::Unavailable(e.to_string()))?;
+            self.update_era(answer.headers(), request_era).map_err(ReadError::Unavailable)?;
             if answer.status() != StatusCode::OK {
                 return Err(ReadError::Unavailable(format!("status {}", answer.status())));
             }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,10 +1,9 @@
-//! Client of the platform's object API: versions, conditional updates, watches.
+//! Client for the platform's object API: versioned objects, conditional updates and watches.
 //!
-//! The API is met through HTTP's own conditional requests (RFC 9110): an object
-//! is `/objects/{name}`, its version is its `ETag`, a conditional update is a
-//! `PUT` with `If-Match` (or `If-None-Match: *` for a new object), a watch is a
-//! `GET` with `watch_after` and `wait_ms` that answers 304 when nothing changed.
-//! `/instances` lists live and leaving instances, with a lag.
+//! The API uses the conditional requests of HTTP (RFC 9110). An object is `/objects/{name}` and its
+//! version is its `ETag`. A conditional update is a `PUT` with `If-Match`, or `If-None-Match: *`
+//! for a new object. A watch is a `GET` with `watch_after` and `wait_ms`, answered with 304 if
+//! nothing changed. `/instances` lists live and leaving instances; the list may be out of date.
 
 mod backoff;
 mod claims;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The object API as the rest of the system sees it.
+//! Interface to the platform's object API.
 
 use std::pin::Pin;
 
@@ -7,59 +7,59 @@
 #[cfg(doc)]
 use eelgrasspier_decide::history::Position;
 
-/// A future on the thread that asked for it.
+/// Future that must be polled on the thread that created it.
 pub type StoreFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// One version of an object.
+/// Version of an object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Object {
-    /// Version, counting up with each update of this object and with each restore of the
-    /// platform: a [`Position`] as a number.
+    /// Version number: a [`Position`] encoded as a number. Increases with each update of this
+    /// object and with each restore of the platform.
     pub version: u64,
-    /// Content.
+    /// Content of the object.
     pub value: Bytes,
 }
 
-/// An instance as the platform lists it.
+/// Instance as listed by the platform.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ListedInstance {
     /// Name of the instance.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// Where its daemon gossips.
+    /// Gossip address of its daemon.
     pub peer_addr: String,
-    /// Whether the platform is about to take it away.
+    /// True if the platform is about to remove the instance.
     #[serde(default)]
     pub is_leaving: bool,
 }
 
-/// The platform could not be read.
+/// Error of a read from the platform.
 #[derive(Debug, Display, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ReadError {
     /// the platform does not answer: {0}
     Unavailable(String),
-    /// the platform's answer makes no sense: {0}
+    /// invalid answer from the platform: {0}
     Malformed(String),
 }
 
-/// A conditional update was not confirmed.
+/// Error of a conditional update that was not confirmed.
 #[derive(Debug, Display, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum UpdateError {
-    /// the object was changed since
+    /// the object has changed since it was read
     Conflict,
-    /// the update surely did not take effect: {0}
+    /// the update did not take effect: {0}
     NotApplied(String),
     /// the update may have taken effect: {0}
     Unknown(String),
 }
 
-/// The platform's object API.
+/// Object API of the platform.
 pub trait ObjectStore {
-    /// Reads an object; `None` where there is none.
+    /// Reads an object; returns `None` if it does not exist.
     fn read<'a>(&'a self, name: &'a str) -> StoreFuture<'a, Result<Option<Object>, ReadError>>;
 
-    /// Waits up to `wait_ms` for a version above `after`; `None` if none came.
+    /// Waits up to `wait_ms` for a version above `after`; returns `None` if none appears.
     fn watch<'a>(
         &'a self,
         name: &'a str,
@@ -67,10 +67,11 @@
         wait_ms: u64,
     ) -> StoreFuture<'a, Result<Option<Object>, ReadError>>;
 
-    /// Replaces the object if its version is `expected` (`None`: if there is none).
+    /// Replaces the object if its version is `expected`; `None` requires that it does not exist.
     ///
-    /// The platform knows no eras in conditions: a version of an earlier one that was given out
-    /// again matches. An answer of a later era than `expected` therefore is [`UpdateError::Unknown`].
+    /// The platform's conditions don't include the era: a version number that is reused after a
+    /// restore matches. An answer from a later era than `expected` is therefore reported as
+    /// [`UpdateError::Unknown`].
     fn update<'a>(
         &'a self,
         name: &'a str,
@@ -78,10 +79,10 @@
         value: Bytes,
     ) -> StoreFuture<'a, Result<u64, UpdateError>>;
 
-    /// How often the platform has been restored from a copy, as of the last answer; 0 where it
-    /// does not say.
+    /// Returns the number of restores of the platform from a backup, as of the last answer; 0 if
+    /// not reported.
     fn era(&self) -> u64;
 
-    /// Lists the live and leaving instances, with the platform's lag.
+    /// Lists the live and leaving instances; the platform's list may be out of date.
     fn instances(&self) -> StoreFuture<'_, Result<Vec<ListedInstance>, ReadError>>;
 }
--- a/crates/store/src/stored.rs
+++ b/crates/store/src/stored.rs
@@ -1,4 +1,4 @@
-//! The objects that this system keeps on the platform, and their encoding.
+//! Objects stored on the platform and their encoding.
 
 use bytes::Bytes;
 use eelgrasspier_decide::claim::{Bucket, Key};
@@ -7,49 +7,49 @@
 
 use crate::store::ReadError;
 
-/// Name of the object that holds the operators' text.
+/// Name of the object that holds the operators' configuration text.
 pub const TEXT_OBJECT: &str = "eelgrasspier-text";
 
-/// Name of the object that holds one bucket of claims.
+/// Returns the name of the object that holds a bucket of claims.
 #[must_use]
 pub fn bucket_object(bucket: usize) -> String {
     format!("eelgrasspier-claims-{bucket}")
 }
 
-/// The operators' text with the last accepted edits.
+/// Operators' text with the most recently accepted edits.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct StoredText {
-    /// The text.
+    /// Configuration text.
     #[prost(string, tag = "1")]
     pub text: String,
-    /// The last accepted edits, oldest first; the last one made this version.
+    /// Most recently accepted edits, oldest first; the last one produced this version.
     #[prost(message, repeated, tag = "2")]
     pub edits: Vec<StoredEdit>,
 }
 
-/// One accepted edit.
+/// Accepted edit.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct StoredEdit {
-    /// The submitter's unique id.
+    /// Unique id given by the submitter.
     #[prost(fixed64, tag = "1")]
     pub edit_id: u64,
-    /// Version of the text that the edit was made from; 0 for the first one.
+    /// Version of the text that the edit is based on; 0 for the first edit.
     #[prost(uint64, tag = "2")]
     pub base: u64,
-    /// Who submitted it.
+    /// Name of the submitter.
     #[prost(string, tag = "3")]
     pub submitter: String,
 }
 
 impl StoredText {
-    /// The accepted edits as the decisions see them.
+    /// Returns the accepted edits in the form used by the decision logic.
     #[must_use]
     pub fn remembered(&self) -> Vec<Edit> {
         self.edits.iter().map(|e| Edit { edit_id: e.edit_id, base: e.base }).collect()
     }
 }
 
-/// One bucket of claims as stored.
+/// Stored form of a bucket of claims.
 #[derive(Clone, PartialEq, Eq, Message)]
 struct StoredBucket {
     #[prost(uint64, tag = "1")]
@@ -70,10 +70,10 @@
     nonce: u64,
 }
 
-/// Bits in the lower half of a key.
+/// Number of bits in the lower half of a key.
 const HALF_BITS: u32 = 64;
 
-/// Encodes a bucket for the platform.
+/// Encodes a bucket for storage.
 #[must_use]
 pub fn encode_bucket(bucket: &Bucket) -> Bytes {
     let claims = bucket.claims.iter().map(|(key, &nonce)| StoredClaim {
@@ -86,10 +86,10 @@
     stored.encode_to_vec().into()
 }
 
-/// Decodes a bucket that was read from the platform.
+/// Decodes a bucket read from the platform.
 ///
 /// # Errors
-/// Fails if the object is not a bucket; it must then not be overwritten.
+/// Fails if the object is not a bucket; it must not be overwritten then.
 pub fn decode_bucket(value: &[u8]) -> Result<Bucket, ReadError> {
     let stored = StoredBucket::decode(value).map_err(|e| ReadError::Malformed(e.to_string()))?;
     let claim = |c: StoredClaim| {
