--- a/crates/peer/src/gossip.rs
+++ b/crates/peer/src/gossip.rs
@@ -13,16 +13,16 @@
 use tokio_util::codec::{Decoder, Encoder};
 use tokio_util::udp::UdpFramed;
 
-/// Encodes one message to a datagram.
+/// Codec with one protobuf message per datagram.
 #[derive(Debug, Default)]
 struct DatagramCodec;
 
 impl Encoder<Datagram> for DatagramCodec {
     type Error = io::Error;
 
-    fn encode(&mut self, datagram: Datagram, into: &mut BytesMut) -> io::Result<()> {
-        into.reserve(datagram.encoded_len());
-        datagram.encode(&mut into.limit(usize::MAX)).map_err(io::Error::other)
+    fn encode(&mut self, datagram: Datagram, output: &mut BytesMut) -> io::Result<()> {
+        output.reserve(datagram.encoded_len());
+        datagram.encode(&mut output.limit(usize::MAX)).map_err(io::Error::other)
     }
 }
 
@@ -30,24 +30,24 @@
     type Item = Datagram;
     type Error = io::Error;
 
-    fn decode(&mut self, from: &mut BytesMut) -> io::Result<Option<Datagram>> {
-        if from.is_empty() {
+    fn decode(&mut self, input: &mut BytesMut) -> io::Result<Option<Datagram>> {
+        if input.is_empty() {
             return Ok(None);
         }
-        let datagram = Datagram::decode(from.split());
-        // A datagram that makes no sense is dropped; the next one may.
+        let datagram = Datagram::decode(input.split());
+        // An invalid datagram is dropped; the next one may be valid.
         Ok(datagram.ok())
     }
 }
 
-/// The sending half of the gossip socket.
+/// Sending half of the gossip socket.
 #[derive(Debug)]
 pub struct Gossip {
     sink: SplitSink<UdpFramed<DatagramCodec>, (Datagram, SocketAddr)>,
 }
 
 impl Gossip {
-    /// Binds the socket; returns the sending half and a stream of what comes in.
+    /// Binds the socket; returns its sending half and the stream of received datagrams.
     ///
     /// # Errors
     /// Fails if the address can't be bound.
@@ -60,14 +60,14 @@
         Ok((Self { sink }, received))
     }
 
-    /// Sends what comes out of the queue, for as long as its other end lives.
+    /// Sends all queued datagrams until the sending end of the queue is closed.
     pub async fn send_all(mut self, mut outgoing: UnboundedReceiver<Send>) {
         while let Some(Send { to, datagram }) = outgoing.recv().await {
             self.send(to, datagram).await;
         }
     }
 
-    /// Sends one datagram; a failure is like a lost one and only counted.
+    /// Sends one datagram. A failure is treated like a lost datagram and only counted.
     async fn send(&mut self, to: SocketAddr, datagram: Datagram) {
         let size_bytes = datagram.encoded_len() as u64;
         metrics::counter!("eelgrasspier_gossip_sent_bytes_total").increment(size_bytes);
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,4 +1,4 @@
-//! Instance to instance: gossip datagrams and framed questions over TCP.
+//! Communication between instances: gossip datagrams over UDP and framed requests over TCP.
 
 mod gossip;
 mod link;
--- a/crates/peer/src/link.rs
+++ b/crates/peer/src/link.rs
@@ -1,4 +1,4 @@
-//! Asks other instances over one connection each.
+//! Client for requests to other instances, with one connection per instance.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,71 +17,72 @@
 
 use crate::wire::{self, Body, Frame};
 
-/// Time in which a connection must be set up.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Questions of one connection that wait to be written.
+/// Maximum number of requests per connection that wait to be written.
 const MAX_QUEUED: usize = 1024;
 
-/// A question to another instance was not answered.
+/// Error of a request to another instance.
 #[derive(Debug, Display, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PeerError {
     /// the instance can't be reached: {0}
     NotReached(String),
     /// the connection was lost before the answer came
     Lost,
-    /// no answer came in time
+    /// timed out waiting for the answer
     TimedOut,
 }
 
-/// Connections to other instances, one for each, opened when first needed.
+/// Connections to other instances, one per instance, opened on first use.
 ///
-/// A connection on which a question timed out is closed: it may have gone silent
-/// for good, which one would notice by every question on it timing out while new
-/// connections to the same place work.
+/// A connection on which a request timed out is closed, since it may never respond again: all
+/// requests on it would time out while new connections to the same address work.
 #[derive(Clone)]
 pub struct Links {
-    links: Rc<RefCell<HashMap<SocketAddr, Rc<Link>>>>,
+    connections: Rc<RefCell<HashMap<SocketAddr, Rc<PeerConnection>>>>,
     stamp: Rc<dyn Fn() -> u64>,
 }
 
 impl std::fmt::Debug for Links {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Links").field("links", &self.links.borrow().len()).finish_non_exhaustive()
+        f.debug_struct("Links")
+            .field("links", &self.connections.borrow().len())
+            .finish_non_exhaustive()
     }
 }
 
-struct Link {
-    questions: mpsc::Sender<Frame>,
-    waiting: RefCell<HashMap<u64, oneshot::Sender<Body>>>,
+struct PeerConnection {
+    outgoing: mpsc::Sender<Frame>,
+    pending_answers: RefCell<HashMap<u64, oneshot::Sender<Body>>>,
     next_id: Cell<u64>,
 }
 
-/// A question that waits; dropped early it tells the other side to stop.
-struct Question {
-    link: Rc<Link>,
+/// Request that waits for its answer; dropping it early sends a cancellation.
+struct PendingRequest {
+    connection: Rc<PeerConnection>,
     id: u64,
 }
 
-impl Drop for Question {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
-        if self.link.waiting.borrow_mut().remove(&self.id).is_some() {
+        if self.connection.pending_answers.borrow_mut().remove(&self.id).is_some() {
             let frame = Frame { id: 0, stamp: 0, body: Some(Body::Cancel(self.id)) };
-            drop(self.link.questions.try_send(frame));
+            drop(self.connection.outgoing.try_send(frame));
         }
     }
 }
 
 impl Links {
-    /// No connections yet; `stamp` gives the clock stamp of a frame to be sent.
+    /// Creates an empty set of connections; `stamp` returns the clock stamp for an outgoing frame.
     #[must_use]
     pub fn new(stamp: Rc<dyn Fn() -> u64>) -> Self {
-        Self { links: Rc::default(), stamp }
+        Self { connections: Rc::default(), stamp }
     }
 
-    /// Asks the instance at `addr`.
+    /// Sends a request to the instance at `addr` and waits for its answer.
     ///
     /// # Errors
-    /// Fails if it can't be reached or does not answer in time.
+    /// Fails if the instance can't be reached or does not answer within `timeout`.
     pub async fn ask(
         &self,
         addr: SocketAddr,
@@ -91,81 +92,87 @@
         self.ask_noting(addr, body, timeout, || ()).await
     }
 
-    /// The same; `note_sent` is called once the question goes out.
+    /// Like [`Links::ask`], but calls `on_sent` once the request is handed to a connection.
     ///
     /// # Errors
-    /// Fails with [`PeerError::NotReached`] as long as it did not, also where time is over.
+    /// Fails with [`PeerError::NotReached`] if the request was not sent, including when the timeout
+    /// expires before that.
     pub async fn ask_noting(
         &self,
         addr: SocketAddr,
         body: Body,
         timeout: Duration,
-        note_sent: impl Fn(),
+        on_sent: impl Fn(),
     ) -> Result<Body, PeerError> {
-        let is_sent = Cell::new(false);
-        let asking = self.ask_untimed(addr, body, || {
-            is_sent.set(true);
-            note_sent();
+        let was_sent = Cell::new(false);
+        let request = self.ask_without_timeout(addr, body, || {
+            was_sent.set(true);
+            on_sent();
         });
-        let waited = tokio::time::timeout(timeout, asking).await;
-        waited.unwrap_or_else(|_| {
-            self.links.borrow_mut().remove(&addr);
-            Err(if is_sent.get() { PeerError::TimedOut } else { not_connected() })
+        let result = tokio::time::timeout(timeout, request).await;
+        result.unwrap_or_else(|_| {
+            self.connections.borrow_mut().remove(&addr);
+            Err(if was_sent.get() { PeerError::TimedOut } else { connect_timed_out() })
         })
     }
 
-    async fn ask_untimed(
+    async fn ask_without_timeout(
         &self,
         addr: SocketAddr,
         body: Body,
-        note_sent: impl Fn(),
+        on_sent: impl Fn(),
     ) -> Result<Body, PeerError> {
-        let link = self.link(addr).await?;
-        note_sent();
-        let id = link.next_id.get();
-        link.next_id.set(id + 1);
-        let (done, answer) = oneshot::channel();
-        link.waiting.borrow_mut().insert(id, done);
-        let question = Question { link: Rc::clone(&link), id };
+        let connection = self.connection(addr).await?;
+        on_sent();
+        let id = connection.next_id.get();
+        connection.next_id.set(id + 1);
+        let (sender, answer) = oneshot::channel();
+        connection.pending_answers.borrow_mut().insert(id, sender);
+        let pending = PendingRequest { connection: Rc::clone(&connection), id };
         let frame = Frame { id, stamp: (self.stamp)(), body: Some(body) };
-        link.questions.send(frame).await.map_err(|_| PeerError::Lost)?;
+        connection.outgoing.send(frame).await.map_err(|_| PeerError::Lost)?;
         let answer = answer.await.map_err(|_| PeerError::Lost);
-        drop(question);
+        drop(pending);
         answer
     }
 
-    async fn link(&self, addr: SocketAddr) -> Result<Rc<Link>, PeerError> {
-        let open = self.links.borrow().get(&addr).filter(|l| !l.questions.is_closed()).cloned();
-        if let Some(link) = open {
-            return Ok(link);
+    async fn connection(&self, addr: SocketAddr) -> Result<Rc<PeerConnection>, PeerError> {
+        let open =
+            self.connections.borrow().get(&addr).filter(|c| !c.outgoing.is_closed()).cloned();
+        if let Some(connection) = open {
+            return Ok(connection);
         }
         let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
         let stream = match connecting {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => return Err(PeerError::NotReached(error.to_string())),
-            Err(_) => return Err(not_connected()),
+            Err(_) => return Err(connect_timed_out()),
         };
         drop(stream.set_nodelay(true));
-        let link = start(stream);
-        let mut links = self.links.borrow_mut();
-        // Instances are replaced all the time; their closed links must not pile up.
-        links.retain(|_, known| !known.questions.is_closed());
-        links.insert(addr, Rc::clone(&link));
-        Ok(link)
+        let connection = spawn_connection(stream);
+        let mut connections = self.connections.borrow_mut();
+        // Instances are replaced continually, so closed connections must not accumulate.
+        connections.retain(|_, known| !known.outgoing.is_closed());
+        connections.insert(addr, Rc::clone(&connection));
+        Ok(connection)
     }
 }
 
-fn not_connected() -> PeerError {
+fn connect_timed_out() -> PeerError {
     PeerError::NotReached("connect timed out".to_owned())
 }
 
-fn start(stream: TcpStream) -> Rc<Link> {
+fn spawn_connection(stream: TcpStream) -> Rc<PeerConnection> {
     let (mut sink, frames) = Framed::new(stream, wire::codec()).split::<Bytes>();
-    let (questions, mut queued) = mpsc::channel::<Frame>(MAX_QUEUED);
-    let link = Rc::new(Link { questions, waiting: RefCell::default(), next_id: Cell::new(1) });
-    let weak = Rc::downgrade(&link);
+    let (outgoing, mut queued) = mpsc::channel::<Frame>(MAX_QUEUED);
+    let connection = Rc::new(PeerConnection {
+        outgoing,
+        pending_answers: RefCell::default(),
+        next_id: Cell::new(1),
+    });
+    let weak = Rc::downgrade(&connection);
     actix_rt::spawn(async move {
-        let writing = async {
+        let writer = async {
             while let Some(frame) = queued.recv().await {
                 if sink.send(frame.encode_to_vec().into()).await.is_err() {
                     break;
@@ -173,27 +180,27 @@
             }
         };
         tokio::select! {
-            () = writing => {}
-            () = read(frames, &weak) => {}
+            () = writer => {}
+            () = read_answers(frames, &weak) => {}
         }
-        // Whoever still waits learns that the connection is lost.
-        if let Some(link) = weak.upgrade() {
-            link.waiting.borrow_mut().clear();
+        // Fails all requests that still wait for an answer.
+        if let Some(connection) = weak.upgrade() {
+            connection.pending_answers.borrow_mut().clear();
         }
     });
-    link
+    connection
 }
 
-async fn read(
+async fn read_answers(
     mut frames: SplitStream<Framed<TcpStream, LengthDelimitedCodec>>,
-    link: &std::rc::Weak<Link>,
+    connection: &std::rc::Weak<PeerConnection>,
 ) {
     while let Some(Ok(bytes)) = frames.next().await {
         let Ok(frame) = Frame::decode(bytes) else { return };
-        let Some(link) = link.upgrade() else { return };
-        let waiting = link.waiting.borrow_mut().remove(&frame.id);
-        if let (Some(done), Some(body)) = (waiting, frame.body) {
-            drop(done.send(body));
+        let Some(connection) = connection.upgrade() else { return };
+        let pending_answer = connection.pending_answers.borrow_mut().remove(&frame.id);
+        if let (Some(sender), Some(body)) = (pending_answer, frame.body) {
+            drop(sender.send(body));
         }
     }
 }
--- a/crates/peer/src/packed.rs
+++ b/crates/peer/src/packed.rs
@@ -1,8 +1,9 @@
-//! Long changes travel between instances compressed.
+//! Compression of large change sets sent between instances.
 //!
-//! A configuration of 1,800 routes has about a megabyte as the store spells it, and twenty
-//! instances of a zone pull it from one over a link of 30 Mbit/s: two seconds of the five in
-//! which it must be in force. It repeats itself so much that a tenth of the bytes are left.
+//! A configuration of 1,800 routes takes about a megabyte in the store's encoding. Twenty instances
+//! of a zone pull it from one instance over a 30 Mbit/s link, which would take two of the five
+//! seconds allowed for it to come into force. It is so repetitive that compression reduces it to a
+//! tenth.
 
 use bytes::Bytes;
 use eelgrasspier_decide::mirror::Changes;
@@ -10,51 +11,52 @@
 
 use crate::wire::Body;
 
-/// Changes up to this length in bytes travel as they are: a few packets.
-const PLAIN_UP_TO_BYTES: usize = 4 << 10;
-/// The fastest level: a configuration shrinks to a tenth with it already.
-const LEVEL: i32 = 1;
-/// Longest unpacked changes in bytes; the store's objects have one megabyte at the most, and
-/// 20,000 entries of replicas eight.
-const MAX_UNPACKED_BYTES: usize = 32 << 20;
+/// Maximum size in bytes of changes that are sent uncompressed; they fit in a few packets.
+const MAX_PLAIN_BYTES: usize = 4 << 10;
+/// Compression level: the fastest one, which already reduces a configuration to a tenth.
+const COMPRESSION_LEVEL: i32 = 1;
+/// Maximum size in bytes of decompressed changes. Stored objects are at most one megabyte, and
+/// 20,000 replica entries take eight megabytes.
+const MAX_DECOMPRESSED_BYTES: usize = 32 << 20;
 
-/// The shortest answer that carries `changes`.
+/// Encodes `changes` as an answer, compressed unless they are small.
 #[must_use]
 pub fn pack(changes: Changes) -> Body {
-    if changes.encoded_len() <= PLAIN_UP_TO_BYTES {
+    if changes.encoded_len() <= MAX_PLAIN_BYTES {
         return Body::Changes(changes);
     }
-    match zstd::bulk::compress(&changes.encode_to_vec(), LEVEL) {
-        Ok(packed) => Body::PackedChanges(packed.into()),
+    match zstd::bulk::compress(&changes.encode_to_vec(), COMPRESSION_LEVEL) {
+        Ok(compressed) => Body::PackedChanges(compressed.into()),
         Err(error) => {
-            log::warn!("changes are sent as they are: {error}");
+            log::warn!("compression failed, sending changes uncompressed: {error}");
             Body::Changes(changes)
         }
     }
 }
 
-/// The changes that an answer carries; `None` if it carries none that can be read.
+/// Extracts the changes from an answer; returns `None` if it has none or they are invalid.
 #[must_use]
 pub fn unpack(answer: Body) -> Option<Changes> {
     match answer {
         Body::Changes(changes) => Some(changes),
-        Body::PackedChanges(packed) => read(&packed),
+        Body::PackedChanges(compressed) => decompress(&compressed),
         _ => None,
     }
 }
 
-fn read(packed: &Bytes) -> Option<Changes> {
-    // The block says how long it is unpacked. To reserve the longest instead took 30 MB of
-    // memory on each instance, though hardly any of it was written to.
-    let stated = zstd::zstd_safe::get_frame_content_size(packed).ok().flatten();
-    let length = stated.and_then(|bytes| usize::try_from(bytes).ok());
-    let length = length.filter(|&bytes| bytes <= MAX_UNPACKED_BYTES);
-    let Some(length) = length else {
-        log::warn!("packed changes of {stated:?} bytes are refused");
+fn decompress(compressed: &Bytes) -> Option<Changes> {
+    // The frame header states the decompressed size. Allocating the maximum size instead used 30 MB
+    // of memory on each instance, almost all of it unused.
+    let stated_bytes = zstd::zstd_safe::get_frame_content_size(compressed).ok().flatten();
+    let size = stated_bytes.and_then(|bytes| usize::try_from(bytes).ok());
+    let size = size.filter(|&bytes| bytes <= MAX_DECOMPRESSED_BYTES);
+    let Some(size) = size else {
+        log::warn!("rejected compressed changes: frame header states {stated_bytes:?} bytes");
         return None;
     };
-    let unpacked = zstd::bulk::decompress(packed, length);
-    let unpacked = unpacked.inspect_err(|e| log::warn!("packed changes unreadable: {e}")).ok()?;
-    let changes = Changes::decode(Bytes::from(unpacked));
-    changes.inspect_err(|e| log::warn!("changes unreadable: {e}")).ok()
+    let decompressed = zstd::bulk::decompress(compressed, size);
+    let decompressed =
+        decompressed.inspect_err(|e| log::warn!("failed to decompress changes: {e}")).ok()?;
+    let changes = Changes::decode(Bytes::from(decompressed));
+    changes.inspect_err(|e| log::warn!("failed to decode changes: {e}")).ok()
 }
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Answers the framed questions of other instances.
+//! Server for framed requests of other instances.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,25 +17,25 @@
 
 use crate::wire::{self, Body, Frame};
 
-/// Answers of one connection that wait to be written.
+/// Maximum number of answers per connection that wait to be written.
 const MAX_QUEUED: usize = 256;
 
-/// An answer on its way.
+/// Future of an answer.
 pub type AnswerFuture<'a> = Pin<Box<dyn Future<Output = Body> + 'a>>;
 
-/// What answers the questions of other instances.
+/// Handler of requests from other instances.
 pub trait PeerService {
-    /// Answers one question.
-    fn answer(&self, question: Body) -> AnswerFuture<'_>;
+    /// Answers one request.
+    fn answer(&self, request: Body) -> AnswerFuture<'_>;
 
-    /// The clock stamp of an answer that is about to be sent.
+    /// Returns the clock stamp for an answer that is about to be sent.
     fn stamp(&self) -> u64;
 
-    /// Takes in the clock stamp of a question.
+    /// Updates the local clock from the stamp of a request.
     fn observe(&self, stamp: u64);
 }
 
-/// Questions of one connection that are being answered; dropping cancels them.
+/// Requests of one connection that are being answered; dropping cancels them.
 #[derive(Debug, Default)]
 struct InProgress(RefCell<HashMap<u64, JoinHandle<()>>>);
 
@@ -55,23 +55,23 @@
     }
 }
 
-/// Accepts connections for as long as the thread runs.
+/// Accepts connections indefinitely.
 pub async fn serve(listener: TcpListener, service: Rc<dyn PeerService>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                actix_rt::spawn(serve_one(stream, Rc::clone(&service)));
+                actix_rt::spawn(serve_connection(stream, Rc::clone(&service)));
             }
-            // Out of descriptors, most likely: let some connections end first.
+            // Probably out of file descriptors: wait for some connections to end.
             Err(error) => {
-                log::warn!("peer connection not accepted: {error}");
+                log::warn!("failed to accept a peer connection: {error}");
                 tokio::time::sleep(std::time::Duration::from_millis(100)).await;
             }
         }
     }
 }
 
-async fn serve_one(stream: TcpStream, service: Rc<dyn PeerService>) {
+async fn serve_connection(stream: TcpStream, service: Rc<dyn PeerService>) {
     drop(stream.set_nodelay(true));
     let (mut sink, mut frames) = Framed::new(stream, wire::codec()).split::<Bytes>();
     let (answers, mut queued) = mpsc::channel::<Frame>(MAX_QUEUED);
@@ -83,17 +83,17 @@
         }
     });
     let in_progress = Rc::new(InProgress::default());
-    let opened = Instant::now();
+    let opened_at = Instant::now();
     let mut transit = Transit::default();
     while let Some(Ok(bytes)) = frames.next().await {
         let Ok(frame) = Frame::decode(bytes) else { break };
         service.observe(frame.stamp);
         match frame.body {
             Some(Body::Cancel(id)) => in_progress.cancel(id),
-            Some(mut question) => {
-                let now_ms = u64::try_from(opened.elapsed().as_millis()).unwrap_or(u64::MAX);
-                take_off_delay(&mut question, &mut transit, now_ms);
-                start(frame.id, question, &service, &in_progress, answers.clone());
+            Some(mut request) => {
+                let now_ms = u64::try_from(opened_at.elapsed().as_millis()).unwrap_or(u64::MAX);
+                subtract_transit_delay(&mut request, &mut transit, now_ms);
+                spawn_answer(frame.id, request, &service, &in_progress, answers.clone());
             }
             None => {}
         }
@@ -103,9 +103,9 @@
     writer.abort();
 }
 
-/// Takes the time that a question was held up on its way off the time that it leaves.
-fn take_off_delay(question: &mut Body, transit: &mut Transit, now_ms: u64) {
-    let Body::Gather(gather) = question else { return };
+/// Subtracts the delay of a request in transit from its remaining time.
+fn subtract_transit_delay(request: &mut Body, transit: &mut Transit, now_ms: u64) {
+    let Body::Gather(gather) = request else { return };
     if gather.sent_ms > 0 {
         let late_ms = transit.late_ms(gather.sent_ms, now_ms);
         gather.time_left_ms = gather.time_left_ms.saturating_sub(late_ms);
@@ -113,20 +113,20 @@
     }
 }
 
-fn start(
+fn spawn_answer(
     id: u64,
-    question: Body,
+    request: Body,
     service: &Rc<dyn PeerService>,
     in_progress: &Rc<InProgress>,
     answers: mpsc::Sender<Frame>,
 ) {
     let service = Rc::clone(service);
-    let ended = Rc::downgrade(in_progress);
+    let weak_in_progress = Rc::downgrade(in_progress);
     let task = actix_rt::spawn(async move {
-        let body = service.answer(question).await;
+        let body = service.answer(request).await;
         let frame = Frame { id, stamp: service.stamp(), body: Some(body) };
         drop(answers.send(frame).await);
-        if let Some(in_progress) = ended.upgrade() {
+        if let Some(in_progress) = weak_in_progress.upgrade() {
             in_progress.0.borrow_mut().remove(&id);
         }
     });
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between instances, framed by their length.
+//! Length-prefixed messages between instances.
 
 mod gather;
 
@@ -7,19 +7,19 @@
 
 pub use gather::{Busy, ColdSend, Gather, Gathered, Header, Signed};
 
-/// Largest frame in bytes; the operators' text fits with room to spare.
+/// Maximum size of a frame in bytes; leaves ample room for the operators' text.
 const MAX_FRAME_BYTES: usize = 8 << 20;
 
-/// One frame: a question or its answer.
+/// Frame with a request or its answer.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    /// Number of the question on this connection.
+    /// Number of the request on this connection.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// The sender's clock stamp, which orders events over all processes.
+    /// Clock stamp of the sender, which orders events across all processes.
     #[prost(uint64, tag = "2")]
     pub stamp: u64,
-    /// What is asked or answered.
+    /// Request or answer.
     #[prost(
         oneof = "Body",
         tags = "3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25, 26"
@@ -27,102 +27,105 @@
     pub body: Option<Body>,
 }
 
-/// What is asked or answered.
+/// Request or answer.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
-    /// Asks for the text if its version is above the given one.
+    /// Request for the text if its version is above the given one.
     #[prost(uint64, tag = "3")]
     TextAbove(u64),
-    /// Answers [`Body::TextAbove`].
+    /// Answer to [`Body::TextAbove`].
     #[prost(message, tag = "4")]
     Text(Text),
-    /// Asks the owner of a bucket to claim a key.
+    /// Request to the owner of a bucket to claim a key.
     #[prost(message, tag = "5")]
     Claim(Claim),
-    /// Answers [`Body::Claim`].
+    /// Answer to [`Body::Claim`].
     #[prost(message, tag = "6")]
     Claimed(Claimed),
-    /// Asks for the instance's state, as JSON.
+    /// Request for the instance's state, as JSON.
     #[prost(message, tag = "7")]
     StatusAsk(Nothing),
-    /// Answers [`Body::StatusAsk`].
+    /// Answer to [`Body::StatusAsk`].
     #[prost(bytes = "bytes", tag = "8")]
     Status(bytes::Bytes),
-    /// Asks for events of the time line, as JSON.
+    /// Request for events of the timeline, as JSON.
     #[prost(message, tag = "9")]
     EventsAsk(EventsAsk),
-    /// Answers [`Body::EventsAsk`].
+    /// Answer to [`Body::EventsAsk`].
     #[prost(bytes = "bytes", tag = "10")]
     Events(bytes::Bytes),
-    /// Asks for parts of a query from replicas in the receiver's slice.
+    /// Request for parts of a query from replicas assigned to the receiver.
     #[prost(message, tag = "11")]
     Parts(Parts),
-    /// Answers [`Body::Parts`].
+    /// Answer to [`Body::Parts`].
     #[prost(message, tag = "12")]
     PartsDone(PartsDone),
-    /// The question could not be answered.
+    /// Answer to a request that could not be fulfilled.
     #[prost(string, tag = "13")]
     Refused(String),
-    /// Tells that the answer to the question with this number is not wanted.
+    /// Cancellation of the request with this number.
     #[prost(uint64, tag = "14")]
     Cancel(u64),
-    /// Asks for changes of the store's objects that the sender has not seen.
+    /// Request for changes of the store's objects that the sender has not seen.
     #[prost(message, tag = "15")]
     ChangesAbove(ChangesAbove),
-    /// Answers [`Body::ChangesAbove`].
+    /// Answer to [`Body::ChangesAbove`].
     #[prost(message, tag = "16")]
     Changes(eelgrasspier_decide::mirror::Changes),
-    /// Asks for the merged parts of several shards.
+    /// Request for the merged parts of several shards.
     #[prost(message, tag = "17")]
     Gather(Gather),
-    /// Answers [`Body::Gather`].
+    /// Answer to [`Body::Gather`].
     #[prost(message, tag = "18")]
     Gathered(Gathered),
-    /// Asks whether the instance answers at all, and is the answer to that.
+    /// Liveness probe, and its answer.
     #[prost(message, tag = "19")]
     Alive(Nothing),
-    /// Answers [`Body::ChangesAbove`] with compressed changes.
+    /// Answer to [`Body::ChangesAbove`] with compressed changes.
     #[prost(bytes = "bytes", tag = "20")]
     PackedChanges(bytes::Bytes),
-    /// Asks for the records of all instances that the receiver knows.
+    /// Request for the records of all instances known to the receiver.
     #[prost(message, tag = "21")]
     MembersAsk(Nothing),
-    /// Answers [`Body::MembersAsk`].
+    /// Answer to [`Body::MembersAsk`].
     #[prost(message, tag = "22")]
     Members(Members),
-    /// Asks for changes of the evacuated zones above the given one, as older versions do.
+    /// Request for changes of the evacuated zones after the given revision, sent by older versions.
     #[prost(uint64, tag = "23")]
     EvacuationsAbove(u64),
-    /// Asks the keeper of a cold replica whether one request may go there.
+    /// Request to the instance that rate-limits a cold replica for permission to send one request
+    /// there.
     #[prost(message, tag = "24")]
     ColdSend(ColdSend),
-    /// Answers [`Body::ColdSend`].
+    /// Answer to [`Body::ColdSend`].
     #[prost(bool, tag = "25")]
     ColdSendAllowed(bool),
-    /// Asks for changes of the evacuated zones that the sender has not seen; answered like
-    /// [`Body::ChangesAbove`], of which an older version would take it for another kind.
+    /// Request for changes of the evacuated zones that the sender has not seen.
+    ///
+    /// Answered like [`Body::ChangesAbove`]. A separate variant, because an older version would
+    /// take such a [`Body::ChangesAbove`] for a request for another kind.
     #[prost(message, tag = "26")]
     EvacuationsAfter(eelgrasspier_decide::history::Position),
 }
 
-/// Records of instances, and what those that start need to know besides.
+/// Records of all instances, and the reports that a starting instance needs.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Members {
-    /// The records, one for each instance.
+    /// Records, one per instance.
     #[prost(message, repeated, tag = "1")]
     pub members: Vec<eelgrasspier_decide::membership::Member>,
-    /// What the sender knows of requests that end replicas.
+    /// Reports known to the sender about requests that crashed replicas.
     #[prost(message, repeated, tag = "2")]
     pub reports: Vec<eelgrasspier_decide::quarantine::Report>,
 }
 
-/// Which changes are asked for.
+/// Kind and position of the requested changes.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct ChangesAbove {
-    /// Whether the replicas are meant, and not the configuration.
+    /// True for replicas; false for the configuration.
     #[prost(bool, tag = "1")]
     pub is_replicas: bool,
-    /// Last change that the sender has taken in.
+    /// Revision of the last change that the sender has applied.
     #[prost(uint64, tag = "2")]
     pub revision: u64,
     /// Era of that change.
@@ -130,22 +133,22 @@
     pub era: u64,
 }
 
-/// Nothing.
+/// Empty message.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Nothing {}
 
-/// A version of the operators' text.
+/// Version of the operators' text.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Text {
-    /// Its version; 0 if the sender has none above the one asked for.
+    /// Version number; 0 if the sender has none above the requested one.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// The stored object's value; empty with version 0.
+    /// Value of the stored object; empty with version 0.
     #[prost(bytes = "bytes", tag = "2")]
     pub stored: bytes::Bytes,
 }
 
-/// A key to be claimed.
+/// Request to claim a key.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Claim {
     /// Upper half of the key.
@@ -154,48 +157,48 @@
     /// Lower half of the key.
     #[prost(fixed64, tag = "2")]
     pub key_low: u64,
-    /// Random number of the attempt.
+    /// Random number that identifies the attempt.
     #[prost(fixed64, tag = "3")]
     pub nonce: u64,
-    /// Time that is left, in milliseconds.
+    /// Remaining time in milliseconds.
     #[prost(uint64, tag = "4")]
     pub time_left_ms: u64,
 }
 
-/// What became of a claim.
+/// Result of a claim.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Claimed {
-    /// The outcome.
+    /// Outcome of the claim.
     #[prost(enumeration = "ClaimOutcome", tag = "1")]
     pub outcome: i32,
 }
 
-/// Outcome of a claim as it travels.
+/// Outcome of a claim, in its wire encoding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum ClaimOutcome {
-    /// Not resolved in time; the asker must find out for itself or give up.
+    /// Not resolved in time; the requester must claim the key itself or give up.
     Unresolved = 0,
     /// The attempt holds the key.
     Granted = 1,
-    /// Another attempt holds it.
+    /// Another attempt holds the key.
     Taken = 2,
-    /// The key is too old.
+    /// The key has expired.
     Expired = 3,
 }
 
-/// Which events are wanted.
+/// Filter of requested events.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct EventsAsk {
-    /// Only events that name this, such as a request id; empty for all.
+    /// Identifier that the events must mention, such as a request id; empty for all.
     #[prost(string, tag = "1")]
     pub about: String,
-    /// Only events with a clock stamp from here on.
+    /// Minimum clock stamp of the events.
     #[prost(uint64, tag = "2")]
     pub from_stamp: u64,
 }
 
-/// Parts of a query that the receiver is to gather.
+/// Request to the receiver to gather parts of a query.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Parts {
     /// Name of the service.
@@ -204,37 +207,36 @@
     /// Id of the caller's request.
     #[prost(string, tag = "2")]
     pub request_id: String,
-    /// The index version that every part must be made from; 0 only asks which one
-    /// the receiver would choose.
+    /// Index version required for every part; 0 only asks which version the receiver would choose.
     #[prost(uint64, tag = "3")]
     pub version: u64,
-    /// Shards wanted.
+    /// Requested shards.
     #[prost(uint32, repeated, tag = "4")]
     pub shards: Vec<u32>,
-    /// Time that is left, in milliseconds.
+    /// Remaining time in milliseconds.
     #[prost(uint64, tag = "5")]
     pub time_left_ms: u64,
-    /// The caller's body.
+    /// Body of the caller's request.
     #[prost(bytes = "bytes", tag = "6")]
     pub body: bytes::Bytes,
-    /// Whether nothing of it may be passed on, not even as a hedge.
+    /// True if no part may be forwarded to another instance, not even as a hedge.
     #[prost(bool, tag = "7")]
     pub is_last: bool,
-    /// Whether it is tried on one server, since others have ended under it.
+    /// True if the query is tried on a single server because it has crashed others.
     #[prost(bool, tag = "8")]
     pub is_trial: bool,
 }
 
-/// The parts that were gathered, and the shards that were not.
+/// Gathered parts, and the shards without a part.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct PartsDone {
-    /// The parts.
+    /// Gathered parts.
     #[prost(message, repeated, tag = "1")]
     pub parts: Vec<Part>,
-    /// The missed shards, with reasons.
+    /// Missed shards, with reasons.
     #[prost(message, repeated, tag = "2")]
     pub missed: Vec<Missed>,
-    /// For a question with version 0: the version that the receiver would choose.
+    /// Version that the receiver would choose; set if the request has version 0.
     #[prost(uint64, tag = "3")]
     pub version: u64,
     /// Number of shards in that version.
@@ -242,24 +244,24 @@
     pub shard_count: u32,
 }
 
-/// One part.
+/// Part of an answer.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Part {
-    /// Its shard.
+    /// Number of the shard.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
-    /// Its body.
+    /// Response body.
     #[prost(bytes = "bytes", tag = "2")]
     pub body: bytes::Bytes,
 }
 
-/// One missed shard.
+/// Shard without a part.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Missed {
-    /// The shard.
+    /// Number of the shard.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
-    /// Why it was missed.
+    /// Reason why the shard was missed.
     #[prost(string, tag = "2")]
     pub reason: String,
 }
--- a/crates/peer/src/wire/gather.rs
+++ b/crates/peer/src/wire/gather.rs
@@ -1,151 +1,151 @@
-//! Questions for the shards of a caller's request, and their answers.
+//! Messages that gather the shards of a caller's request.
 
 use prost::Message;
 
-/// One header of a caller's request.
+/// Header of a caller's request.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Header {
-    /// Its name.
+    /// Name of the header.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Its value.
+    /// Value of the header.
     #[prost(bytes = "bytes", tag = "2")]
     pub value: bytes::Bytes,
 }
 
-/// A caller's request, to be sent to some of its shards.
+/// Caller's request that is to be sent to some of its shards.
 #[derive(Clone, PartialEq, Message)]
 pub struct Gather {
-    /// The caller's id of its attempt.
+    /// Id that the caller gave to its attempt.
     #[prost(bytes = "bytes", tag = "1")]
     pub request_id: bytes::Bytes,
-    /// Method.
+    /// HTTP method.
     #[prost(string, tag = "2")]
     pub method: String,
-    /// Host that the caller named.
+    /// Host named by the caller.
     #[prost(string, tag = "3")]
     pub host: String,
-    /// Path and query.
+    /// Path and query string.
     #[prost(string, tag = "4")]
     pub path: String,
-    /// Headers to be forwarded.
+    /// Headers to forward.
     #[prost(message, repeated, tag = "5")]
     pub headers: Vec<Header>,
-    /// The caller's body.
+    /// Body of the caller's request.
     #[prost(bytes = "bytes", tag = "6")]
     pub body: bytes::Bytes,
-    /// Name of the route, under which latencies are learnt.
+    /// Name of the route, used as the key of latency statistics.
     #[prost(string, tag = "7")]
     pub route: String,
-    /// The shards, each a service.
+    /// Shards, each identified by its service.
     #[prost(string, repeated, tag = "8")]
     pub services: Vec<String>,
-    /// Number of replicas that each shard's request may be sent to.
+    /// Maximum number of replicas to which each shard's request may be sent.
     #[prost(uint32, tag = "9")]
     pub attempts: u32,
-    /// Records that the merged answer needs.
+    /// Number of records that the merged answer needs.
     #[prost(uint32, tag = "10")]
     pub top_k: u32,
-    /// Time in milliseconds within which replicas must have answered.
+    /// Time within which replicas must have answered, in milliseconds.
     #[prost(uint64, tag = "11")]
     pub time_left_ms: u64,
-    /// Time in milliseconds after which what is there is wanted.
+    /// Time after which the answers received so far must be returned, in milliseconds.
     #[prost(uint64, tag = "12")]
     pub answer_within_ms: u64,
-    /// The route's target latency in milliseconds.
+    /// Target latency of the route, in milliseconds.
     #[prost(uint64, tag = "13")]
     pub target_latency_ms: u64,
-    /// Marks of those replicas, as many for each shard as there are attempts.
+    /// Hashed ids of the permitted replicas, as many for each shard as there are attempts.
     #[prost(fixed32, repeated, tag = "14")]
     pub allowed: Vec<u32>,
-    /// Whether another instance may have sent them before, so that they count as repeats.
+    /// True if another instance may have sent these requests before, so that they count as retries.
     #[prost(bool, tag = "15")]
     pub is_repeat: bool,
-    /// Shards that may be left out since they would be late.
+    /// Number of shards that may be omitted because they would be late.
     #[prost(uint32, tag = "16")]
     pub may_miss: u32,
-    /// How many of these are for shards that others are asked for: this instance may leave out
-    /// the rest only.
+    /// Number of those omissions reserved for shards sent to other instances; this instance may
+    /// only use the rest.
     #[prost(uint32, tag = "17")]
     pub misses_of_others: u32,
-    /// Whether these are all shards of the request, to be asked for wherever that is best.
+    /// True if these are all shards of the request, to be fetched by whichever route is best.
     #[prost(bool, tag = "18")]
     pub is_whole: bool,
-    /// When it was sent, in milliseconds of the sender's clock; 0 where it does not say.
+    /// Send time on the sender's clock, in milliseconds; 0 if not stated.
     #[prost(uint64, tag = "19")]
     pub sent_ms: u64,
-    /// What the sender knows of replicas that have ended under the request.
+    /// Report known to the sender about replicas crashed by the request.
     #[prost(message, optional, tag = "20")]
     pub report: Option<eelgrasspier_decide::quarantine::Report>,
-    /// Regions in which the request may run; none for anywhere.
+    /// Regions in which the request may run; empty if there is no restriction.
     #[prost(string, repeated, tag = "21")]
     pub home_regions: Vec<String>,
 }
 
-/// What an instance knows of a replica that is busy or slow.
+/// State of a busy or slow replica, as seen by an instance.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Busy {
-    /// The replica's mark.
+    /// Hash of the id of the replica.
     #[prost(fixed32, tag = "1")]
     pub mark: u32,
-    /// Requests that it runs or holds.
+    /// Number of running and queued requests.
     #[prost(uint32, tag = "2")]
     pub load: u32,
-    /// Its latency relative to the usual one, in tenths.
+    /// Latency relative to the usual latency, in tenths.
     #[prost(uint32, tag = "3")]
     pub ratio_tenths: u32,
 }
 
-/// One part that is in a merged answer.
+/// Part that is included in a merged answer.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Signed {
-    /// Position of its shard in the question.
+    /// Index of its shard in the request.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
-    /// Its replica's signature.
+    /// Signature of its replica.
     #[prost(bytes = "bytes", tag = "2")]
     pub signature: bytes::Bytes,
 }
 
-/// The merged parts of several shards.
+/// Merged parts of several shards.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Gathered {
-    /// The greatest records of the parts, greatest first.
+    /// Highest-ranked records of the parts, in descending order.
     #[prost(bytes = "bytes", tag = "1")]
     pub records: bytes::Bytes,
-    /// The parts that are in.
+    /// Included parts.
     #[prost(message, repeated, tag = "2")]
     pub parts: Vec<Signed>,
-    /// Whether a replica may have run any of the others.
+    /// True if a replica may have run any of the other parts.
     #[prost(bool, tag = "3")]
     pub may_have_run: bool,
-    /// Marks of replicas of the shards that are slow, paused or failing.
+    /// Hashed ids of replicas of the shards that are slow, paused or failing.
     #[prost(fixed32, repeated, tag = "4")]
     pub slow: Vec<u32>,
     /// Replicas of the shards that are busy or slow.
     #[prost(message, repeated, tag = "5")]
     pub busy: Vec<Busy>,
-    /// Positions of the shards that were not sent, since they would have been late.
+    /// Indices of the shards that were not sent because they would have been late.
     #[prost(uint32, repeated, tag = "6")]
     pub left_out: Vec<u32>,
-    /// When to come back, in milliseconds, where nothing was begun; 0 where it was.
+    /// Retry delay in milliseconds if nothing was started; 0 otherwise.
     #[prost(uint64, tag = "7")]
     pub refused_ms: u64,
-    /// What the sender knows of replicas that have ended under the request.
+    /// Report known to the sender about replicas crashed by the request.
     #[prost(message, optional, tag = "8")]
     pub report: Option<eelgrasspier_decide::quarantine::Report>,
 }
 
-/// A request that is to go to a cold replica.
+/// Request for permission to send to a cold replica.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ColdSend {
     /// Id of the replica.
     #[prost(string, tag = "1")]
     pub replica: String,
-    /// Its service.
+    /// Service of the replica.
     #[prost(string, tag = "2")]
     pub service: String,
-    /// The caller's id of its attempt, for the log.
+    /// Id that the caller gave to its attempt.
     #[prost(bytes = "bytes", tag = "3")]
     pub request_id: bytes::Bytes,
 }
--- a/crates/peer/tests/packed.rs
+++ b/crates/peer/tests/compression.rs
@@ -1,4 +1,4 @@
-//! Changes on their way between instances.
+//! Tests of the compression of changes sent between instances.
 
 use arbtest::arbtest;
 use bytes::Bytes;
@@ -26,11 +26,12 @@
     Changes { as_of: 9, objects: vec![object], ..Changes::default() }
 }
 
-/// Symptom: a large configuration was in force seconds late on instances with thin links.
-/// Sequence: twenty instances pulled a megabyte each from one of their zone.
-/// Cause it guards against: sending as it is what repeats itself.
+/// A large configuration must be compressed to a tenth of its size.
+///
+/// Uncompressed, it came into force seconds late on instances with slow links when twenty instances
+/// each pulled a megabyte from one instance of their zone.
 #[test]
-fn a_large_configuration_takes_a_tenth_of_its_bytes() {
+fn a_large_configuration_compresses_to_a_tenth() {
     let large = configuration(1_800);
     let plain_bytes = large.encoded_len();
     let answer = pack(large.clone());
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn small_changes_travel_as_they_are() {
+fn small_changes_are_sent_uncompressed() {
     let small = configuration(3);
     assert_eq!(pack(small.clone()), Body::Changes(small.clone()));
     assert_eq!(unpack(Body::Changes(small.clone())), Some(small));
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn all_changes_come_through() {
+fn arbitrary_changes_round_trip() {
     arbtest(|u| {
         let mut changes =
             Changes { as_of: u.arbitrary()?, is_whole: u.arbitrary()?, ..Changes::default() };
@@ -72,24 +73,23 @@
     });
 }
 
-/// Whatever bytes come, they are read or refused; nothing panics.
+/// Arbitrary bytes must be decoded or rejected without a panic.
 #[test]
-fn strange_bytes_are_refused() {
+fn arbitrary_bytes_do_not_panic() {
     arbtest(|u| {
         let bytes: Vec<u8> = u.arbitrary()?;
         let bytes = Bytes::from(bytes);
-        // Refused or read: either is an answer.
+        // Both results are valid; the test checks that nothing panics.
         let _changes = unpack(Body::PackedChanges(bytes.clone()));
         let _frame = Frame::decode(bytes);
         Ok(())
     });
 }
 
-/// Symptom: an instance was ended for its memory.
-/// Sequence: a block of some hundred bytes said that it holds gigabytes.
-/// Cause it guards against: believing what a block says of its length.
+/// An excessive stated size must be rejected: a block of a few hundred bytes that states gigabytes
+/// once caused an instance to be killed for its memory use.
 #[test]
-fn a_block_that_claims_too_much_is_refused() {
+fn an_excessive_stated_size_is_rejected() {
     let zeros = vec![0; 33 << 20];
     let packed = zstd::bulk::compress(&zeros, 1).unwrap();
     assert!(packed.len() < 1 << 16);
