--- a/crates/caller/src/answer.rs
+++ b/crates/caller/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers, as JSON or Protocol Buffers.
+//! Answers to callers, encoded as JSON or Protocol Buffers.
 
 use actix_web::http::header;
 use actix_web::{HttpRequest, HttpResponse};
@@ -8,66 +8,66 @@
 
 use crate::request::headers;
 
-/// Media type of the second codec.
+/// Media type of answers in Protocol Buffers.
 const PROTOBUF: &str = "application/x-protobuf";
 
-/// The answer to a query: parts of one snapshot, and its true coverage.
+/// Answer to a query: parts of one snapshot and the actual coverage.
 #[derive(Clone, PartialEq, Eq, Message, Serialize, Deserialize)]
 pub struct Answer {
     /// Id of the request.
     #[prost(string, tag = "1")]
     pub request_id: String,
-    /// The one index version that every part was made from.
+    /// Index version used for all parts.
     #[prost(uint64, tag = "2")]
     pub index_version: u64,
     /// Number of shards of the index in that version.
     #[prost(uint32, tag = "3")]
     pub shard_count: u32,
-    /// Shards whose parts are here.
+    /// Shards whose parts are included.
     #[prost(uint32, repeated, tag = "4")]
     pub covered: Vec<u32>,
-    /// Wanted shards whose parts are not.
+    /// Requested shards whose parts are missing.
     #[prost(message, repeated, tag = "5")]
     pub missed: Vec<Missed>,
-    /// The parts, by shard.
+    /// Parts of the covered shards.
     #[prost(message, repeated, tag = "6")]
     pub parts: Vec<Part>,
 }
 
-/// A wanted shard whose part is not in the answer.
+/// Requested shard whose part is missing.
 #[derive(Clone, PartialEq, Eq, Message, Serialize, Deserialize)]
 pub struct Missed {
-    /// The shard.
+    /// Number of the shard.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
-    /// Why.
+    /// Reason why the part is missing.
     #[prost(string, tag = "2")]
     pub reason: String,
 }
 
-/// What one shard answered.
+/// Answer of one shard.
 #[derive(Clone, PartialEq, Eq, Message, Serialize, Deserialize)]
 pub struct Part {
-    /// The shard.
+    /// Number of the shard.
     #[prost(uint32, tag = "1")]
     pub shard: u32,
-    /// Its body; in JSON as Base64.
+    /// Response body; Base64 in JSON.
     #[prost(bytes = "bytes", tag = "2")]
     #[serde(with = "base64_body")]
     pub body: Bytes,
 }
 
-/// The answer to a request that ran.
+/// Answer to a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunAnswer {
     /// Id of the request.
     pub request_id: String,
-    /// What the backend server answered.
+    /// Response body of the backend server.
     pub body: Bytes,
 }
 
 impl Answer {
-    /// The HTTP answer, in the codec that the caller accepts.
+    /// Returns the HTTP response, in the encoding that the caller accepts.
     #[must_use]
     pub fn to_response(&self, request: &HttpRequest) -> HttpResponse {
         let wanted = self.covered.len() + self.missed.len();
@@ -84,7 +84,7 @@
 }
 
 impl RunAnswer {
-    /// The HTTP answer: the backend server's body as it is.
+    /// Returns the HTTP response with the backend server's body unchanged.
     #[must_use]
     pub fn to_response(&self) -> HttpResponse {
         HttpResponse::Ok()
@@ -105,12 +105,14 @@
     use bytes::Bytes;
     use serde::{Deserialize, Deserializer, Serializer};
 
-    pub(super) fn serialize<S: Serializer>(body: &Bytes, to: S) -> Result<S::Ok, S::Error> {
-        to.serialize_str(&STANDARD.encode(body))
+    pub(super) fn serialize<S: Serializer>(body: &Bytes, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.serialize_str(&STANDARD.encode(body))
     }
 
-    pub(super) fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Bytes, D::Error> {
-        let text = String::deserialize(from)?;
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(
+        deserializer: D,
+    ) -> Result<Bytes, D::Error> {
+        let text = String::deserialize(deserializer)?;
         STANDARD.decode(text).map(Bytes::from).map_err(serde::de::Error::custom)
     }
 }
--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -1,9 +1,8 @@
-//! The interface towards callers: checked requests, answers and refusals.
+//! Interface to callers: validated requests, answers and refusals.
 //!
-//! Callers speak HTTP. `POST /v1/services/{service}/query` is repeatable and
-//! gathers parts from shards; `POST /v1/services/{service}/run` must not repeat
-//! and carries an `Idempotency-Key`. Refusals are `application/problem+json`
-//! (RFC 9457) with a verdict and `Retry-After`.
+//! Callers use HTTP. `POST /v1/services/{service}/query` is repeatable and gathers parts from
+//! shards. `POST /v1/services/{service}/run` must not run twice and carries an `Idempotency-Key`.
+//! Refusals are `application/problem+json` (RFC 9457) with a verdict and `Retry-After`.
 
 mod answer;
 mod problem;
--- a/crates/caller/src/problem.rs
+++ b/crates/caller/src/problem.rs
@@ -7,26 +7,26 @@
 
 use crate::request::headers;
 
-/// Body of a refusal.
+/// Body of a refusal, as defined by RFC 9457.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Kind of problem, as a stable relative reference.
+    /// Problem type, as a stable relative reference.
     #[serde(rename = "type")]
     pub kind: String,
     /// HTTP status.
     pub status: u16,
-    /// What happened, for people.
+    /// Explanation for humans.
     pub detail: String,
     /// `not_run` or `may_have_run`.
     pub verdict: String,
     /// Id of the request.
     pub request_id: String,
-    /// When a new try is worth it, in milliseconds.
+    /// Time in milliseconds after which a retry is worthwhile.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
-/// The HTTP answer for a refusal.
+/// Returns the HTTP response for a refusal.
 #[must_use]
 pub fn problem_response(refusal: &Refusal, request_id: &str) -> HttpResponse {
     const MS_PER_SECOND: u64 = 1000;
--- a/crates/caller/src/request.rs
+++ b/crates/caller/src/request.rs
@@ -1,4 +1,4 @@
-//! Checked requests of callers.
+//! Validated requests of callers.
 
 use std::collections::BTreeSet;
 
@@ -8,52 +8,52 @@
 use eelgrasspier_decide::prelude::{IndexVersion, Service, ShardId};
 use eelgrasspier_decide::text::is_name;
 
-/// Headers of a caller's request.
+/// Headers of callers' requests and of the answers to them.
 pub mod headers {
-    /// Time in milliseconds in which the caller needs the answer.
+    /// Time in milliseconds within which the caller needs the answer.
     pub const DEADLINE: &str = "deadline-ms";
-    /// The caller's team.
+    /// Team of the caller.
     pub const TEAM: &str = "team";
-    /// Shards wanted, such as `0,4-7`; all if absent.
+    /// Requested shards, such as `0,4-7`; all if absent.
     pub const SHARDS: &str = "shards";
-    /// Least share of the wanted shards that the caller accepts, in percent.
+    /// Minimum share of the requested shards that the caller accepts, in percent.
     pub const LEAST_COVERAGE: &str = "least-coverage-percent";
-    /// Index version that the answer must be made from, or was made from.
+    /// Index version required for, or used for, the answer.
     pub const SNAPSHOT: &str = "index-version";
-    /// Key of a request that must not run twice: a `UUIDv7`.
+    /// Idempotency key of a run: a `UUIDv7`.
     pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
-    /// Id of the request, given by the instance.
+    /// Id of the request, assigned by the instance.
     pub const REQUEST_ID: &str = "request-id";
     /// Coverage of an answer, as `covered/wanted`.
     pub const COVERAGE: &str = "coverage";
-    /// Whether a refused request may have run.
+    /// Verdict on whether a refused request may have run.
     pub const VERDICT: &str = "verdict";
 }
 
-/// Team of callers that name none.
-const NO_TEAM: &str = "default";
-/// Time by which a key's issue may lie ahead of this instance's clock.
-const MAX_AHEAD_MS: u64 = 60_000;
-/// Number of the UUID version that carries its time of issue.
+/// Team of callers that state none.
+const DEFAULT_TEAM: &str = "default";
+/// Maximum time in milliseconds by which a key's issue time may be ahead of the local clock.
+const MAX_CLOCK_SKEW_MS: u64 = 60_000;
+/// UUID version whose ids contain their time of issue.
 const TIMED_UUID_VERSION: usize = 7;
 
-/// What is wrong with a caller's request.
+/// Error of an invalid request.
 #[derive(Debug, Display, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
     /// header deadline-ms is required: the time in milliseconds in which the answer is needed
     NoDeadline,
     /// deadline-ms must lie between 1 and {max_ms}, got {given_ms}
     DeadlineOutOfRange {
-        /// What the caller asked for.
+        /// Requested deadline in milliseconds.
         given_ms: u64,
-        /// The most that the service allows.
+        /// Maximum deadline of the service, in milliseconds.
         max_ms: u64,
     },
     /// header {name} makes no sense: {value}
     BadHeader {
         /// Name of the header.
         name: &'static str,
-        /// What it says.
+        /// Value of the header.
         value: String,
     },
     /// team {0} may not use this service
@@ -68,42 +68,42 @@
     NoRuns,
     /// unknown shard {shard}: index version {version} has {shard_count}
     UnknownShard {
-        /// The shard asked for.
+        /// Requested shard.
         shard: ShardId,
-        /// The version of the partition map.
+        /// Index version of the partition map.
         version: IndexVersion,
-        /// Number of shards in it.
+        /// Number of shards in that version.
         shard_count: u32,
     },
     /// the body is longer than {0} bytes
     BodyTooLarge(usize),
 }
 
-/// What every request of a caller says.
+/// Parameters common to all requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Call {
-    /// Time in which the answer is needed.
+    /// Time within which the answer is needed, in milliseconds.
     pub deadline_ms: u64,
-    /// The caller's team.
+    /// Team of the caller.
     pub team: String,
-    /// Weight of the team.
+    /// Weight of the team in admission control.
     pub weight: u32,
-    /// Shards wanted; `None` for all.
+    /// Requested shards; `None` for all.
     pub shards: Option<BTreeSet<ShardId>>,
-    /// Least share of the wanted shards that is accepted, in percent.
+    /// Minimum accepted share of the requested shards, in percent.
     pub least_coverage_percent: u32,
-    /// Index version asked for.
+    /// Requested index version.
     pub version: Option<IndexVersion>,
 }
 
-/// What a request that must not run twice says.
+/// Parameters of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunCall {
     /// Deadline, team and shard.
     pub call: Call,
-    /// The idempotency key.
+    /// Idempotency key.
     pub key: Key,
-    /// The key as the caller wrote it.
+    /// Key as written by the caller.
     pub key_text: String,
 }
 
@@ -111,36 +111,36 @@
     type Error = CallError;
 
     fn try_from((request, service): (&HttpRequest, &Service)) -> Result<Self, CallError> {
-        let (team, weight) = read_team(request, service)?;
+        let (team, weight) = parse_team(request, service)?;
         Ok(Self {
-            deadline_ms: read_deadline(request, service)?,
+            deadline_ms: parse_deadline(request, service)?,
             team,
             weight,
-            shards: header(request, headers::SHARDS)?.map(read_shards).transpose()?,
-            least_coverage_percent: read_percent(request)?,
+            shards: header(request, headers::SHARDS)?.map(parse_shards).transpose()?,
+            least_coverage_percent: parse_percent(request)?,
             version: number(request, headers::SNAPSHOT)?,
         })
     }
 }
 
 impl RunCall {
-    /// Checks a request that must not run twice; `now_ms` is since the epoch.
+    /// Validates a run; `now_ms` is in milliseconds since the Unix epoch.
     ///
     /// # Errors
-    /// Fails if a header is missing or makes no sense, or the service takes none.
+    /// Fails if a header is missing or invalid, or the service does not accept runs.
     pub fn check(request: &HttpRequest, service: &Service, now_ms: u64) -> Result<Self, CallError> {
         if service.run_connections == 0 {
             return Err(CallError::NoRuns);
         }
         let call = Call::try_from((request, service))?;
         let text = header(request, headers::IDEMPOTENCY_KEY)?.ok_or(CallError::NoKey)?;
-        // The header's grammar makes it a quoted string; many clients leave the quotes out.
-        let bare = text.trim().trim_matches('"');
-        let parsed = uuid::Uuid::try_parse(bare).ok();
-        let timed = parsed.filter(|u| u.get_version_num() == TIMED_UUID_VERSION);
-        let uuid = timed.ok_or_else(|| CallError::BadKey(text.to_owned()))?;
+        // The header's grammar requires a quoted string, but many clients omit the quotes.
+        let unquoted = text.trim().trim_matches('"');
+        let parsed = uuid::Uuid::try_parse(unquoted).ok();
+        let time_based = parsed.filter(|u| u.get_version_num() == TIMED_UUID_VERSION);
+        let uuid = time_based.ok_or_else(|| CallError::BadKey(text.to_owned()))?;
         let key = Key(uuid.as_u128());
-        if key.issued_ms() > now_ms + MAX_AHEAD_MS {
+        if key.issued_ms() > now_ms + MAX_CLOCK_SKEW_MS {
             return Err(CallError::KeyAhead);
         }
         Ok(Self { call, key, key_text: uuid.to_string() })
@@ -149,9 +149,9 @@
 
 fn header<'a>(request: &'a HttpRequest, name: &'static str) -> Result<Option<&'a str>, CallError> {
     let Some(value) = request.headers().get(name) else { return Ok(None) };
-    let bad =
+    let bad_header =
         || CallError::BadHeader { name, value: String::from_utf8_lossy(value.as_bytes()).into() };
-    value.to_str().map(Some).map_err(|_| bad())
+    value.to_str().map(Some).map_err(|_| bad_header())
 }
 
 fn number<T: std::str::FromStr>(
@@ -159,11 +159,11 @@
     name: &'static str,
 ) -> Result<Option<T>, CallError> {
     let Some(text) = header(request, name)? else { return Ok(None) };
-    let bad = || CallError::BadHeader { name, value: text.to_owned() };
-    text.trim().parse().map(Some).map_err(|_| bad())
+    let bad_header = || CallError::BadHeader { name, value: text.to_owned() };
+    text.trim().parse().map(Some).map_err(|_| bad_header())
 }
 
-fn read_deadline(request: &HttpRequest, service: &Service) -> Result<u64, CallError> {
+fn parse_deadline(request: &HttpRequest, service: &Service) -> Result<u64, CallError> {
     let given = number::<u64>(request, headers::DEADLINE)?;
     let default = (service.deadline_ms > 0).then_some(service.deadline_ms);
     let deadline_ms = given.or(default).ok_or(CallError::NoDeadline)?;
@@ -174,8 +174,8 @@
     Ok(deadline_ms)
 }
 
-fn read_team(request: &HttpRequest, service: &Service) -> Result<(String, u32), CallError> {
-    let name = header(request, headers::TEAM)?.unwrap_or(NO_TEAM);
+fn parse_team(request: &HttpRequest, service: &Service) -> Result<(String, u32), CallError> {
+    let name = header(request, headers::TEAM)?.unwrap_or(DEFAULT_TEAM);
     if !is_name(name) {
         return Err(CallError::BadHeader { name: headers::TEAM, value: name.to_owned() });
     }
@@ -186,29 +186,29 @@
     weight.map(|w| (name.to_owned(), w)).ok_or_else(|| CallError::UnknownTeam(name.to_owned()))
 }
 
-fn read_percent(request: &HttpRequest) -> Result<u32, CallError> {
-    const ALL: u32 = 100;
+fn parse_percent(request: &HttpRequest) -> Result<u32, CallError> {
+    const MAX_PERCENT: u32 = 100;
     let percent = number::<u32>(request, headers::LEAST_COVERAGE)?.unwrap_or(0);
-    if percent > ALL {
+    if percent > MAX_PERCENT {
         let value = percent.to_string();
         return Err(CallError::BadHeader { name: headers::LEAST_COVERAGE, value });
     }
     Ok(percent)
 }
 
-fn read_shards(list: &str) -> Result<BTreeSet<ShardId>, CallError> {
-    let bad = || CallError::BadHeader { name: headers::SHARDS, value: list.to_owned() };
+fn parse_shards(list: &str) -> Result<BTreeSet<ShardId>, CallError> {
+    let bad_header = || CallError::BadHeader { name: headers::SHARDS, value: list.to_owned() };
     let mut shards = BTreeSet::new();
     for entry in list.split(',') {
-        shards.extend(read_range(entry).ok_or_else(bad)?);
+        shards.extend(parse_range(entry).ok_or_else(bad_header)?);
     }
     Ok(shards)
 }
 
-/// Reads `4` or `4-7`.
-fn read_range(entry: &str) -> Option<std::ops::RangeInclusive<ShardId>> {
-    const MOST: ShardId = 10_000;
+/// Parses `4` or `4-7`.
+fn parse_range(entry: &str) -> Option<std::ops::RangeInclusive<ShardId>> {
+    const MAX_SHARDS: ShardId = 10_000;
     let (from, to) = entry.split_once('-').unwrap_or((entry, entry));
     let range = from.trim().parse().ok()?..=to.trim().parse().ok()?;
-    (!range.is_empty() && *range.end() < MOST).then_some(range)
+    (!range.is_empty() && *range.end() < MAX_SHARDS).then_some(range)
 }
--- a/crates/caller/src/serve.rs
+++ b/crates/caller/src/serve.rs
@@ -1,9 +1,9 @@
-//! Accepts callers' connections, and ends them without cutting a request.
+//! Server for callers' connections, which drains them without aborting requests.
 //!
-//! The web framework of the own interface keeps a handler running when its caller has
-//! gone, and closes idle connections the moment a stop begins. Here a caller that goes
-//! away drops its request's future, and a stop has two steps: answers first ask the
-//! caller to close, and only later are idle connections closed.
+//! The web framework of the instance's own interface lets a handler finish after its caller has
+//! disconnected, and closes idle connections as soon as a shutdown begins. This server drops the
+//! future of a request when its caller disconnects, and shuts down in two steps: answers first ask
+//! the caller to close the connection, and idle connections are closed only later.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -22,42 +22,43 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Pause after a failed accept, most likely for want of descriptors.
+/// Pause after a failed accept, which is most likely caused by a lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Least buffer that the HTTP library accepts, in bytes.
-const LEAST_BUFFER_BYTES: usize = 8192;
+/// Minimum buffer size that the HTTP library accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8192;
 
-/// How far a planned stop has come.
+/// Phase of a planned shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
-    /// Callers are served.
+    /// Requests are served normally.
     Serving,
-    /// Callers are served, and asked to come back by another connection.
+    /// Requests are served, and answers ask callers to reconnect.
     Leaving,
     /// Idle connections are closed; requests in progress finish.
     Closing,
 }
 
-/// An answer on its way.
+/// Future of an answer.
 pub type Answering = Pin<Box<dyn Future<Output = Response<Full<Bytes>>>>>;
 
-/// What answers callers' requests.
+/// Handler of callers' requests.
 pub trait Handler {
-    /// Answers one request; dropped if the caller goes away.
+    /// Answers one request; the future is dropped if the caller disconnects.
     fn answer(&self, request: Request<Incoming>) -> Answering;
 
-    /// Bounds for the next connection.
+    /// Returns the limits for the next connection.
     fn limits(&self) -> CallerLimits;
 }
 
-/// Accepts connections until the stop closes them; returns when the last has ended.
+/// Accepts connections until [`StopPhase::Closing`]; returns after the last one has ended.
 pub async fn serve(
     listener: TcpListener,
     handler: Rc<dyn Handler>,
     mut phase: watch::Receiver<StopPhase>,
 ) {
-    // Every connection holds a clone; the receiver learns when all are dropped.
-    let (open, mut all_closed) = tokio::sync::mpsc::channel::<()>(1);
+    // Every connection holds a clone of the sender; the receiver returns `None` once all are
+    // dropped.
+    let (connection_guard, mut all_ended) = tokio::sync::mpsc::channel::<()>(1);
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -65,53 +66,53 @@
         };
         match accepted {
             Ok((stream, from)) => {
-                let guard = open.clone();
-                let connection = serve_one(stream, from, Rc::clone(&handler), phase.clone());
+                let guard = connection_guard.clone();
+                let connection = serve_connection(stream, from, Rc::clone(&handler), phase.clone());
                 actix_rt::spawn(async move {
                     connection.await;
                     drop(guard);
                 });
             }
             Err(error) => {
-                log::warn!("caller's connection not accepted: {error}");
+                log::warn!("failed to accept a caller's connection: {error}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
     }
-    drop(open);
+    drop(connection_guard);
     drop(listener);
-    while all_closed.recv().await.is_some() {}
+    while all_ended.recv().await.is_some() {}
 }
 
-async fn serve_one(
+async fn serve_connection(
     stream: TcpStream,
     from: SocketAddr,
     handler: Rc<dyn Handler>,
     mut phase: watch::Receiver<StopPhase>,
 ) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("no-delay not set on a connection from {from}: {error}");
+        log::debug!("failed to set TCP_NODELAY on the connection from {from}: {error}");
     }
     let limits = handler.limits();
-    let now = phase.clone();
+    let current_phase = phase.clone();
     let service = service_fn(move |request: Request<Incoming>| {
         let answering = handler.answer(request);
-        let now = now.clone();
+        let current_phase = current_phase.clone();
         async move {
             let mut answer = answering.await;
-            if *now.borrow() > StopPhase::Serving {
+            if *current_phase.borrow() > StopPhase::Serving {
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
             Ok::<_, std::convert::Infallible>(answer)
         }
     });
-    // The library's header timeout also runs while a connection is idle, so it is the
-    // longer of the two bounds; a caller that trickles its head is cut off by it.
-    let head_timeout_ms = limits.idle_timeout_ms.max(limits.header_timeout_ms);
+    // The library's header timeout also runs while a connection is idle, so the longer of the two
+    // limits is used. It cuts off callers that send their headers slowly.
+    let header_read_timeout_ms = limits.idle_timeout_ms.max(limits.header_timeout_ms);
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(Duration::from_millis(head_timeout_ms))
-        .max_buf_size(limits.max_header_bytes.max(LEAST_BUFFER_BYTES))
+        .header_read_timeout(Duration::from_millis(header_read_timeout_ms))
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,8 +1,8 @@
-//! Counters, gauges and latency histograms, served as Prometheus' text.
+//! Counters, gauges and latency histograms, exported in the Prometheus text format.
 //!
-//! The recorder calibrates no clock: the one used before measured the processor's counter
-//! against the system's clock at each start, for up to 200 ms of processor time on an instance
-//! with an eighth of a core, in the very moments after a restart of everything.
+//! The recorder does not calibrate a clock. The one used before compared the processor's cycle
+//! counter with the system clock at each start, which took up to 200 ms of processor time on an
+//! instance with an eighth of a core, at the worst moment: right after a full restart.
 
 use std::sync::Arc;
 
@@ -10,51 +10,51 @@
 use metrics_prometheus::Recorder;
 use prometheus::{HistogramOpts, HistogramVec, Registry, TextEncoder};
 
-/// Upper bound of the first bucket of a latency, in seconds.
+/// Upper bound of the first latency bucket, in seconds.
 const FIRST_BUCKET_S: f64 = 0.001;
-/// Each bucket is so many times as wide as the one before: a quantile is known to a fifth.
+/// Ratio of successive bucket bounds; quantiles are accurate to about 20%.
 const BUCKET_RATIO: f64 = 1.5;
-/// Number of buckets; the last one ends at 2.2 s, beyond the longest deadline of callers.
-const BUCKETS: usize = 20;
+/// Number of buckets; the last bound is 2.2 s, above the longest deadline of callers.
+const BUCKET_COUNT: usize = 20;
 
-/// The metrics can't be set up.
+/// Error of the metrics setup.
 #[derive(Debug, Display, thiserror::Error)]
 pub enum TelemetryError {
-    /// histogram {0} can't be registered: {1}
+    /// failed to register histogram {0}: {1}
     Histogram(&'static str, #[source] prometheus::Error),
-    /// there is another recorder already: {0}
+    /// another metrics recorder is already installed: {0}
     Taken(String),
 }
 
-/// A histogram of latencies.
+/// Definition of a latency histogram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Latency {
     /// Name of the metric, with its unit as suffix.
     pub name: &'static str,
-    /// What it measures, on one line.
+    /// Help text, on one line.
     pub help: &'static str,
-    /// Its labels.
+    /// Label names.
     pub labels: &'static [&'static str],
 }
 
 impl Latency {
     fn to_metric(self) -> Result<HistogramVec, TelemetryError> {
-        let failed = |error| TelemetryError::Histogram(self.name, error);
-        let buckets = prometheus::exponential_buckets(FIRST_BUCKET_S, BUCKET_RATIO, BUCKETS);
-        let options = HistogramOpts::new(self.name, self.help).buckets(buckets.map_err(failed)?);
-        HistogramVec::new(options, self.labels).map_err(failed)
+        let to_error = |error| TelemetryError::Histogram(self.name, error);
+        let buckets = prometheus::exponential_buckets(FIRST_BUCKET_S, BUCKET_RATIO, BUCKET_COUNT);
+        let options = HistogramOpts::new(self.name, self.help).buckets(buckets.map_err(to_error)?);
+        HistogramVec::new(options, self.labels).map_err(to_error)
     }
 }
 
-/// The metrics of this process as a page of text.
+/// Metrics of this process, as a page of text.
 #[derive(Debug, Clone)]
 pub struct Page(Arc<Registry>);
 
 impl Page {
-    /// Records all metrics of this process from now on, `latencies` with buckets.
+    /// Installs the recorder of all metrics of this process, with histograms for `latencies`.
     ///
     /// # Errors
-    /// Fails if a name is taken or no metric name, or if another recorder was set up before.
+    /// Fails if a name is taken or invalid, or if another recorder is already installed.
     pub fn install(latencies: &[Latency]) -> Result<Self, TelemetryError> {
         let registry = Registry::new();
         let recorder = Recorder::builder()
@@ -68,10 +68,10 @@
         Ok(Self(Arc::new(registry)))
     }
 
-    /// All metrics in Prometheus' text format.
+    /// Returns all metrics in the Prometheus text format.
     ///
     /// # Errors
-    /// Fails if a metric has no valid form.
+    /// Fails if a metric can't be encoded.
     pub fn render(&self) -> Result<String, prometheus::Error> {
         TextEncoder::new().encode_to_string(&self.0.gather())
     }
--- a/crates/telemetry/tests/page.rs
+++ b/crates/telemetry/tests/page.rs
@@ -1,4 +1,4 @@
-//! What the page of metrics shows.
+//! Tests of the rendered metrics page.
 
 use eelgrasspier_telemetry::{Latency, Page};
 
@@ -21,9 +21,10 @@
     ] {
         assert!(text.lines().any(|l| l == line), "{line} is not in\n{text}");
     }
-    let is_in_time = |l: &&str| l.starts_with("answer_seconds_bucket{outcome=\"merged\",le=\"0.0");
+    let is_low_bucket =
+        |l: &&str| l.starts_with("answer_seconds_bucket{outcome=\"merged\",le=\"0.0");
     let counts: Vec<&str> =
-        text.lines().filter(is_in_time).filter_map(|l| l.split(' ').nth(1)).collect();
+        text.lines().filter(is_low_bucket).filter_map(|l| l.split(' ').nth(1)).collect();
     assert!(counts.contains(&"0") && counts.contains(&"1"), "{counts:?}");
     assert!(Page::install(&[]).is_err(), "a second recorder was set up");
 }
