--- a/crates/backend/src/pool.rs
+++ b/crates/backend/src/pool.rs
@@ -149,14 +149,14 @@
     pub async fn exchange(&self, send: Send) -> Result<WireAnswer, PartFailure> {
         let time_left = send.time_left;
         let offered = send.offered.clone();
-        let result = actix_rt::time::timeout(time_left, self.exchange_untimed(send)).await;
+        let result = actix_rt::time::timeout(time_left, self.exchange_without_timeout(send)).await;
         result.unwrap_or_else(|_| {
             let is_connecting = !offered.is_marked();
             Err(if is_connecting { connect_timed_out() } else { PartFailure::TimedOut })
         })
     }
 
-    async fn exchange_untimed(&self, send: Send) -> Result<WireAnswer, PartFailure> {
+    async fn exchange_without_timeout(&self, send: Send) -> Result<WireAnswer, PartFailure> {
         let pool = self.server_pool(&send.server);
         let limits = AnswerLimits { is_kept: send.is_kept, max_bytes: send.max_bytes };
         let mut request = send.request;
@@ -194,13 +194,13 @@
         &self,
         server: &Arc<str>,
         addr: SocketAddr,
-        most_connections: u32,
+        max_connections: u32,
     ) -> Result<(), PartFailure> {
         let pool = self.server_pool(server);
         if pool.open_count.get() > 0 {
             return Ok(());
         }
-        let connection = pool.connect(addr, most_connections).await?;
+        let connection = pool.connect(addr, max_connections).await?;
         pool.idle.borrow_mut().push(connection);
         Ok(())
     }
@@ -215,10 +215,10 @@
         &self,
         server: &Arc<str>,
         addr: SocketAddr,
-        most_connections: u32,
+        max_connections: u32,
     ) -> Result<(), PartFailure> {
         let pool = self.server_pool(server);
-        match pool.connect(addr, most_connections).await {
+        match pool.connect(addr, max_connections).await {
             Ok(connection) => pool.idle.borrow_mut().push(connection),
             // The connection limit is reached: open one outside the pool and close it immediately.
             Err(PartFailure::Crowded) => drop(connect(addr).await?),
@@ -229,10 +229,10 @@
 
     /// Returns true if a connection is idle or another one may be opened.
     #[must_use]
-    pub fn has_room(&self, server: &str, most_connections: u32) -> bool {
+    pub fn has_room(&self, server: &str, max_connections: u32) -> bool {
         let servers = self.servers.borrow();
         let Some(pool) = servers.get(server) else { return true };
-        !pool.idle.borrow().is_empty() || pool.open_count.get() < most_connections
+        !pool.idle.borrow().is_empty() || pool.open_count.get() < max_connections
     }
 
     /// Removes all servers that are not in `servers`, with their idle connections.
@@ -242,7 +242,7 @@
 
     /// Returns the number of open connections to a server.
     #[must_use]
-    pub fn open(&self, server: &str) -> u32 {
+    pub fn open_connections(&self, server: &str) -> u32 {
         self.servers.borrow().get(server).map_or(0, |pool| pool.open_count.get())
     }
 
--- a/crates/backend/tests/pool.rs
+++ b/crates/backend/tests/pool.rs
@@ -89,7 +89,7 @@
     for _ in 0..3 {
         assert_eq!(&get(&pool, addr).await.unwrap().body[..], b"whole");
     }
-    assert_eq!((*connections.borrow(), pool.open("i-1")), (1, 1));
+    assert_eq!((*connections.borrow(), pool.open_connections("i-1")), (1, 1));
 }
 
 /// Idle connections must not exhaust the connections that a replica accepts.
@@ -103,7 +103,7 @@
     for _ in 0..3 {
         let once = Send { is_kept: false, ..send(addr) };
         assert_eq!(&exchange(&pool, once).await.unwrap().body[..], b"whole");
-        assert_eq!(pool.open("i-1"), 0);
+        assert_eq!(pool.open_connections("i-1"), 0);
     }
     assert_eq!(*connections.borrow(), 3);
 }
@@ -123,7 +123,7 @@
         let failure = get(&pool, addr).await.unwrap_err();
         assert_eq!(failure.verdict(), Verdict::MayHaveRun, "{failure}");
     }
-    assert_eq!(pool.open("i-1"), 0);
+    assert_eq!(pool.open_connections("i-1"), 0);
 }
 
 /// Bytes after a complete answer must not be read as the answer to the next request. A replica may
--- a/crates/caller/src/request.rs
+++ b/crates/caller/src/request.rs
@@ -17,7 +17,7 @@
     /// Requested shards, such as `0,4-7`; all if absent.
     pub const SHARDS: &str = "shards";
     /// Minimum share of the requested shards that the caller accepts, in percent.
-    pub const LEAST_COVERAGE: &str = "least-coverage-percent";
+    pub const MIN_COVERAGE: &str = "least-coverage-percent";
     /// Index version required for, or used for, the answer.
     pub const SNAPSHOT: &str = "index-version";
     /// Idempotency key of a run: a `UUIDv7`.
@@ -188,10 +188,10 @@
 
 fn parse_percent(request: &HttpRequest) -> Result<u32, CallError> {
     const MAX_PERCENT: u32 = 100;
-    let percent = number::<u32>(request, headers::LEAST_COVERAGE)?.unwrap_or(0);
+    let percent = number::<u32>(request, headers::MIN_COVERAGE)?.unwrap_or(0);
     if percent > MAX_PERCENT {
         let value = percent.to_string();
-        return Err(CallError::BadHeader { name: headers::LEAST_COVERAGE, value });
+        return Err(CallError::BadHeader { name: headers::MIN_COVERAGE, value });
     }
     Ok(percent)
 }
--- a/crates/peer/src/packed.rs
+++ b/crates/peer/src/packed.rs
@@ -39,12 +39,12 @@
 pub fn unpack(answer: Body) -> Option<Changes> {
     match answer {
         Body::Changes(changes) => Some(changes),
-        Body::PackedChanges(compressed) => decompress(&compressed),
+        Body::PackedChanges(compressed) => decompress_changes(&compressed),
         _ => None,
     }
 }
 
-fn decompress(compressed: &Bytes) -> Option<Changes> {
+fn decompress_changes(compressed: &Bytes) -> Option<Changes> {
     // The frame header states the decompressed size. Allocating the maximum size instead used 30 MB
     // of memory on each instance, almost all of it unused.
     let stated_bytes = zstd::zstd_safe::get_frame_content_size(compressed).ok().flatten();
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -114,7 +114,7 @@
     /// Records, one per instance.
     #[prost(message, repeated, tag = "1")]
     pub members: Vec<eelgrasspier_decide::membership::Member>,
-    /// Reports known to the sender about requests that crashed replicas.
+    /// Sender's reports on requests suspected of crashing replicas.
     #[prost(message, repeated, tag = "2")]
     pub reports: Vec<eelgrasspier_decide::quarantine::Report>,
 }
@@ -222,7 +222,7 @@
     /// True if no part may be forwarded to another instance, not even as a hedge.
     #[prost(bool, tag = "7")]
     pub is_last: bool,
-    /// True if the query is tried on a single server because it has crashed others.
+    /// True if the query is tried on a single server because others crashed while running it.
     #[prost(bool, tag = "8")]
     pub is_trial: bool,
 }
--- a/crates/peer/src/wire/gather.rs
+++ b/crates/peer/src/wire/gather.rs
@@ -68,13 +68,13 @@
     /// only use the rest.
     #[prost(uint32, tag = "17")]
     pub misses_of_others: u32,
-    /// True if these are all shards of the request, to be fetched by whichever route is best.
+    /// True if these are all shards of the request, so that the receiver may choose how to reach them.
     #[prost(bool, tag = "18")]
     pub is_whole: bool,
     /// Send time on the sender's clock, in milliseconds; 0 if not stated.
     #[prost(uint64, tag = "19")]
     pub sent_ms: u64,
-    /// Report known to the sender about replicas crashed by the request.
+    /// Sender's report on replicas that crashed while running the request.
     #[prost(message, optional, tag = "20")]
     pub report: Option<eelgrasspier_decide::quarantine::Report>,
     /// Regions in which the request may run; empty if there is no restriction.
@@ -131,7 +131,7 @@
     /// Retry delay in milliseconds if nothing was started; 0 otherwise.
     #[prost(uint64, tag = "7")]
     pub refused_ms: u64,
-    /// Report known to the sender about replicas crashed by the request.
+    /// Sender's report on replicas that crashed while running the request.
     #[prost(message, optional, tag = "8")]
     pub report: Option<eelgrasspier_decide::quarantine::Report>,
 }
--- a/crates/store/src/collections.rs
+++ b/crates/store/src/collections.rs
@@ -22,7 +22,7 @@
     Configuration,
     /// Instance entries, each written by the instance itself.
     Instances,
-    /// Requests that crashed replicas.
+    /// Requests suspected of crashing replicas.
     Suspects,
     /// Availability zones that operators have evacuated; their replicas receive no requests.
     Evacuations,
@@ -78,7 +78,7 @@
     pub instances: u64,
 }
 
-/// Persisted record of a request that crashed replicas.
+/// Persisted record of a request suspected of crashing replicas.
 ///
 /// Instances exchange these reports, but after a loss of all instances only the store still has
 /// them.
@@ -154,7 +154,7 @@
     /// Fails with a message that names the field.
     fn instance(&self, name: &str, content: &Bytes) -> Result<Announcement, String>;
 
-    /// Decodes the persisted record of a request that crashed replicas.
+    /// Decodes the persisted record of a request suspected of crashing replicas.
     ///
     /// # Errors
     /// Fails with a message that names the field.
