--- a/crates/standin/src/backends.rs
+++ b/crates/standin/src/backends.rs
@@ -1,7 +1,7 @@
-//! Stand-in for the backend servers of one service, all in one process.
+//! Simulated backend servers of one service, all in one process.
 //!
-//! Each replica listens on its own port and has its own slots, connections and
-//! faults. `PUT /standin/faults` on a replica's port changes how it behaves.
+//! Each replica listens on its own port and has its own slots, connection count and
+//! injected faults. `PUT /standin/faults` on a replica's port replaces its faults.
 
 mod handlers;
 
@@ -19,12 +19,12 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{Notify, Semaphore};
 
-/// Requests that wait for a slot before the server sheds.
+/// Requests running or waiting for a slot above which a replica sheds new ones.
 const MAX_QUEUE: u64 = 40;
-/// Time for which a silent connection says nothing.
+/// Time for which a silent connection delays each request.
 const SILENCE: Duration = Duration::from_mins(1);
 
-/// Shape of one service.
+/// Options for the backend servers of one service.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Shape {
     /// Name of the service
@@ -36,63 +36,63 @@
     /// Replicas of each shard
     #[bpaf(long, argument("N"), fallback(2))]
     pub replicas: u32,
-    /// Requests that a replica runs at a time
+    /// Requests that a replica runs concurrently
     #[bpaf(long, argument("N"), fallback(2))]
     pub slots: u32,
-    /// Connections that a replica allows
+    /// Maximum connections to a replica
     #[bpaf(long, argument("N"), fallback(25))]
     pub connections: u32,
-    /// Time that the first request on a connection waits
+    /// Delay of the first request on each connection, in milliseconds
     #[bpaf(long, argument("MS"), fallback(6))]
     pub connect_ms: u64,
-    /// Mean time of work, in microseconds
+    /// Mean service time of a request, in microseconds
     #[bpaf(long, argument("US"), fallback(3000))]
     pub work_us: u64,
-    /// Requests in a thousand that take ten times as long
+    /// Requests per thousand that take ten times as long
     #[bpaf(long, argument("N"), fallback(5))]
     pub stragglers_per_mille: u64,
-    /// Availability zones over which replicas are spread
+    /// Availability zones over which replicas are spread, comma separated
     #[bpaf(long, argument("LIST"), fallback("zone-a,zone-b".to_owned()))]
     pub zones: String,
 }
 
-/// Faults that a replica shows.
+/// Faults injected into a replica.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 #[expect(clippy::struct_excessive_bools, reason = "each fault is on or off by itself")]
 pub struct Faults {
-    /// It says that it is leaving, and still serves.
+    /// Announces that the replica is draining, while it still serves requests.
     pub is_draining: bool,
-    /// It refuses all work.
+    /// Sheds all queries and runs.
     pub is_shedding: bool,
-    /// It takes this many times as long.
+    /// Factor by which the service time is multiplied.
     pub slowness: u64,
-    /// It says this load, whatever it has.
+    /// Load to report instead of the actual load.
     pub said_load: Option<u32>,
-    /// It holds these versions, with their shard counts.
+    /// Index versions that the replica holds, with shard counts; empty keeps the current ones.
     pub versions: Vec<(u64, u32)>,
-    /// It takes connections and requests, and answers nothing any more.
+    /// Accepts connections and requests on all connections, but does not answer.
     pub is_lost: bool,
-    /// It takes requests and answers nothing, on all connections open now.
+    /// Does not answer on connections opened before this fault was set.
     pub silences_open: bool,
 }
 
-/// What a replica has counted.
+/// Counters of a replica.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
-    /// Parts that it has begun.
+    /// Parts started.
     pub parts: u64,
-    /// Parts and runs that it took after it said that it was leaving.
+    /// Parts and runs started while the replica announced that it was draining.
     pub after_drain: u64,
-    /// Parts that were cancelled.
+    /// Parts that were cancelled or exceeded their deadline.
     pub cancelled: u64,
-    /// Requests that it shed.
+    /// Requests shed.
     pub shed: u64,
-    /// Most connections that were open at a time.
+    /// Maximum number of connections open at the same time.
     pub peak_connections: u64,
-    /// Connections that were opened in all.
+    /// Total number of connections opened.
     pub opened: u64,
-    /// Runs by idempotency key.
+    /// Runs started, by idempotency key.
     pub runs: BTreeMap<String, u64>,
 }
 
@@ -107,7 +107,7 @@
     faults: Mutex<Faults>,
     counters: Mutex<Counters>,
     working: Mutex<HashMap<String, Arc<Notify>>>,
-    /// Connections opened up to this number are silent.
+    /// Number of the last connection that does not answer; 0 for none.
     silent_up_to: AtomicU64,
 }
 
@@ -117,7 +117,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// One open connection; counted until it closes.
+/// An open connection; decrements the count of open connections when dropped.
 struct Connection {
     replica: Arc<Replica>,
     number: u64,
@@ -130,7 +130,7 @@
     }
 }
 
-/// Serves every replica on a free port; prints the addresses as one line of JSON.
+/// Serves every replica on a free port and prints the addresses as one line of JSON.
 ///
 /// # Errors
 /// Fails if a port can't be bound.
@@ -204,7 +204,7 @@
         }
     }
 
-    /// An answer with what the server says of itself.
+    /// Starts a response with the headers in which a server reports its state.
     fn respond(&self, status: u16) -> HttpResponseBuilder {
         let faults = lock(&self.faults);
         let versions: Vec<String> =
@@ -225,7 +225,7 @@
     fn work_time(&self) -> Duration {
         const STRAGGLER_FACTOR: u64 = 10;
         let mean_us = self.shape.work_us;
-        // Half fixed, half exponential; and now and then a straggler.
+        // Half of the mean is fixed, the other half exponentially distributed.
         let uniform: f64 = rand::random_range(f64::EPSILON..1.0);
         let random = Duration::from_micros(mean_us / 2).mul_f64(-uniform.ln());
         let mut work = Duration::from_micros(mean_us / 2) + random;
@@ -235,7 +235,7 @@
         work * u32::try_from(lock(&self.faults).slowness.max(1)).unwrap_or(1)
     }
 
-    /// Waits for a slot and works; `false` if it was cancelled or out of time.
+    /// Waits for a slot and simulates the work; returns false if cancelled or out of time.
     async fn work(&self, time_left: Duration, cancelled: &Notify) -> bool {
         let working = async {
             let Ok(_slot) = self.slots.acquire().await else { return };
@@ -249,7 +249,7 @@
     }
 }
 
-/// Counts a request as load until it ends.
+/// Guard that counts a request towards the load of a replica until it is dropped.
 struct Loaded<'a>(&'a Replica);
 
 impl<'a> Loaded<'a> {
--- a/crates/standin/src/backends/handlers.rs
+++ b/crates/standin/src/backends/handlers.rs
@@ -1,4 +1,4 @@
-//! What a replica does with each request.
+//! HTTP handlers of a replica.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -23,10 +23,10 @@
     value.unwrap_or_default().to_owned()
 }
 
-/// What a connection does before the request on it is looked at.
+/// Applies silence and connection delay before a request is handled.
 async fn begin(request: &HttpRequest, replica: &Replica) {
     let Some(connection) = request.conn_data::<Connection>() else { return };
-    // Not for the test's own questions, which begin no work.
+    // The `/standin` routes don't call this function, so tests can always reach them.
     if lock(&replica.faults).is_lost
         || connection.number <= replica.silent_up_to.load(Ordering::Acquire)
     {
--- a/crates/standin/src/compare.rs
+++ b/crates/standin/src/compare.rs
@@ -1,4 +1,4 @@
-//! Ways A and B of the policy at the same load and under the same faults.
+//! Compares variants of the replica choice and hedging policy under the same load and faults.
 
 use std::time::Duration;
 
@@ -10,20 +10,20 @@
 use crate::fleet::{Fleet, addr_of};
 use crate::load;
 
-/// What goes wrong in a third of the run's time.
+/// Fault injected after the first third of the load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scenario {
-    /// Nothing but the stragglers.
+    /// No faults apart from stragglers.
     Calm,
-    /// One replica in ten takes eight times as long.
+    /// One replica in ten is slower by a factor of eight.
     Slow,
-    /// One replica in ten is slow and says that it has no load.
+    /// One replica in ten is slower by a factor of eight and reports no load.
     Lying,
-    /// All open connections to one replica in ten go silent for good.
+    /// One replica in ten stops answering on the connections open at that time.
     Silent,
-    /// One replica in twenty is lost without a word.
+    /// One replica in twenty stops answering.
     Lost,
-    /// All replicas in one availability zone are lost without a word.
+    /// All replicas in one availability zone stop answering.
     ZoneLost,
 }
 
@@ -38,30 +38,32 @@
             "silent" => Ok(Self::Silent),
             "lost" => Ok(Self::Lost),
             "zone-lost" => Ok(Self::ZoneLost),
-            _ => Err("calm, slow, lying, silent, lost or zone-lost".to_owned()),
+            _ => {
+                Err("unknown scenario; use calm, slow, lying, silent, lost or zone-lost".to_owned())
+            }
         }
     }
 }
 
-/// What to compare.
+/// Options of the comparison.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Plan {
     /// Number of instances
     #[bpaf(long, argument("N"), fallback(7))]
     pub instances: usize,
-    /// Queries a second
+    /// Queries per second
     #[bpaf(long, argument("N"), fallback(300))]
     pub rate: u32,
-    /// Seconds to offer them for
+    /// Duration of the load, in seconds
     #[bpaf(long, argument("S"), fallback(9))]
     pub seconds: u32,
-    /// Deadline of each query
+    /// Deadline of each query, in milliseconds
     #[bpaf(long, argument("MS"), fallback(100))]
     pub deadline_ms: u64,
     /// Fault: calm, slow, lying, silent, lost or zone-lost
     #[bpaf(long, argument("NAME"), fallback(Scenario::Calm))]
     pub scenario: Scenario,
-    /// Ways as choice/hedge-per-mille, comma separated
+    /// Policies to compare as choice/hedge-per-mille, comma separated
     #[bpaf(
         long,
         argument("LIST"),
@@ -70,10 +72,10 @@
     pub ways: String,
 }
 
-/// Runs every way in turn and prints a line for each.
+/// Runs the load with each policy in turn and prints a table row for each.
 ///
 /// # Errors
-/// Fails if something can't be started.
+/// Fails if a cluster can't be started or an answer violates a guarantee.
 pub async fn run(plan: &Plan) -> Result<(), String> {
     println!("{:?} at {} queries/s, deadline {} ms", plan.scenario, plan.rate, plan.deadline_ms);
     println!("| way | p50 ms | p99 ms | p99.9 ms | in time % | coverage % | extra load % |");
@@ -86,12 +88,13 @@
 
 async fn row(plan: &Plan, way: &str) -> Result<String, String> {
     const PERCENT: f64 = 100.0;
-    let (choice, per_mille) = way.split_once('/').ok_or("a way is choice/hedge-per-mille")?;
+    let (choice, per_mille) =
+        way.split_once('/').ok_or("a policy must be given as choice/hedge-per-mille")?;
     let fleet = Fleet::start(demo::deployment(
         plan.instances,
         &demo::Variant {
             choice: choice.to_owned(),
-            hedge_per_mille: per_mille.parse().map_err(|_| "hedge-per-mille is a number")?,
+            hedge_per_mille: per_mille.parse().map_err(|_| "hedge-per-mille must be a number")?,
             stragglers_per_mille: 5,
             connections: 25,
             work_us: 3_000,
@@ -103,7 +106,7 @@
     broken?;
     let report = report?;
     if !report.violations.is_empty() {
-        return Err(format!("promises were broken: {report}"));
+        return Err(format!("answers violate guarantees of the interface: {report}"));
     }
     let in_time = f64::from(u32::try_from(report.in_time).unwrap_or(u32::MAX)) * PERCENT
         / f64::from(u32::try_from(report.offered.max(1)).unwrap_or(u32::MAX));
@@ -117,7 +120,7 @@
     ))
 }
 
-/// Lets the fault begin when a third of the time is over.
+/// Injects the faults of the scenario after a third of the duration.
 async fn break_some(fleet: &Fleet, plan: &Plan) -> Result<(), String> {
     const ONE_IN: usize = 10;
     const LOST_ONE_IN: usize = 20;
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -1,4 +1,4 @@
-//! A whole deployment on this machine, queried and measured.
+//! Demo: runs a test cluster on this machine, queries it and prints measurements.
 
 use bpaf::Bpaf;
 use futures_util::future::join;
@@ -7,43 +7,43 @@
 use crate::fleet::{Fleet, Plan as FleetPlan, ServicePlan};
 use crate::load;
 
-/// Shards of grid-builder.
+/// Number of shards of grid-builder.
 const GRID_SHARDS: u64 = 20;
 
-/// What the demo runs.
+/// Options of the demo.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Plan {
     /// Number of instances
     #[bpaf(long, argument("N"), fallback(7))]
     pub instances: usize,
-    /// Queries a second
+    /// Queries per second
     #[bpaf(long, argument("N"), fallback(150))]
     pub rate: u32,
-    /// Seconds to offer them for
+    /// Duration of the load, in seconds
     #[bpaf(long, argument("S"), fallback(10))]
     pub seconds: u32,
-    /// Deadline of each query
+    /// Deadline of each query, in milliseconds
     #[bpaf(long, argument("MS"), fallback(100))]
     pub deadline_ms: u64,
-    /// Policy of replica choice: least-cost or random
+    /// Replica choice policy: least-cost or random
     #[bpaf(long, argument("NAME"), fallback("least-cost".to_owned()))]
     pub choice: String,
-    /// Quantile in thousandths after which a part is hedged; 0 for never
+    /// Latency quantile in thousandths after which a part is hedged; 0 disables hedging
     #[bpaf(long, argument("N"), fallback(950))]
     pub hedge_per_mille: u32,
-    /// Requests in a thousand that take ten times as long
+    /// Requests per thousand that take ten times as long
     #[bpaf(long, argument("N"), fallback(5))]
     pub stragglers_per_mille: u64,
-    /// Connections that a replica allows
+    /// Maximum connections to a replica
     #[bpaf(long, argument("N"), fallback(25))]
     pub connections: u32,
-    /// Mean time of a part's work, in microseconds
+    /// Mean service time of a part, in microseconds
     #[bpaf(long, argument("US"), fallback(3000))]
     pub work_us: u64,
-    /// Team that asks
+    /// Team that sends the queries
     #[bpaf(long, argument("NAME"), fallback("newspaper".to_owned()))]
     pub team: String,
-    /// Queries a second of a second team, on top
+    /// Additional queries per second from a second team
     #[bpaf(long, argument("N"), fallback(0))]
     pub flood_rate: u32,
     /// Print JSON
@@ -51,7 +51,7 @@
     pub json: bool,
 }
 
-/// The services of tt-north.
+/// Returns the services of the tt-north deployment.
 #[must_use]
 pub fn tt_north(variant: &Variant) -> Vec<ServicePlan> {
     let &Variant { stragglers_per_mille, connections, work_us, .. } = variant;
@@ -79,22 +79,22 @@
 /// Name of the service that is queried.
 pub const GRID: &str = "grid-builder";
 
-/// What differs between deployments that are compared.
+/// Parameters in which compared deployments differ.
 #[derive(Debug, Clone)]
 pub struct Variant {
-    /// Policy of replica choice.
+    /// Replica choice policy.
     pub choice: String,
-    /// Quantile in thousandths after which a part is hedged; 0 for never.
+    /// Latency quantile in thousandths after which a part is hedged; 0 disables hedging.
     pub hedge_per_mille: u32,
-    /// Requests in a thousand that take ten times as long.
+    /// Requests per thousand that take ten times as long.
     pub stragglers_per_mille: u64,
-    /// Connections that a replica allows.
+    /// Maximum connections to a replica.
     pub connections: u32,
-    /// Mean time of a part's work.
+    /// Mean service time of a part, in microseconds.
     pub work_us: u64,
 }
 
-/// A deployment of tt-north.
+/// Returns the specification of a tt-north deployment.
 #[must_use]
 pub fn deployment(instances: usize, variant: &Variant) -> FleetPlan {
     let zones = ["pos-hall", "chag-hall", "arima-hall", "tuna-hall"];
@@ -109,7 +109,7 @@
     }
 }
 
-/// Queries to grid-builder through all instances.
+/// Returns load generator options for queries to grid-builder through all instances.
 #[must_use]
 pub fn grid_load(fleet: &Fleet, rate: u32, seconds: u32, deadline_ms: u64) -> load::Plan {
     let counters = fleet.backends.get(GRID).map(|b| b.addrs().join(","));
@@ -126,10 +126,10 @@
     }
 }
 
-/// Starts the deployment, offers queries to grid-builder, and prints the measures.
+/// Starts the cluster, sends queries to grid-builder and prints the measurements.
 ///
 /// # Errors
-/// Fails if something can't be started or a promise was broken.
+/// Fails if the cluster can't be started or an answer violates a guarantee.
 pub async fn run(plan: &Plan) -> Result<(), String> {
     let variant = Variant {
         choice: plan.choice.clone(),
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole deployment on loopback: platform, backend servers, instances.
+//! Test cluster on loopback: platform, backend servers and instances as child processes.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -14,49 +14,49 @@
 use crate::platform::{Faults as PlatformFaults, Listed};
 use crate::process::Process;
 
-/// Pause between two looks at a condition.
+/// Interval at which a condition is polled.
 const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// Looks before a condition is given up: generous, for busy machines.
+/// Polls before a wait fails: at least one minute in total, so that loaded machines don't time out.
 const MOST_LOOKS: usize = 1_200;
-/// Token for edits.
+/// Administration token that every instance is configured with.
 pub const TOKEN: &str = "standin-token";
 
-/// What a deployment is made of.
+/// Specification of a test cluster.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Number of instances.
     pub instances: usize,
-    /// Availability zones over which they are spread.
+    /// Availability zones, assigned to instances in rotation.
     pub zones: Vec<String>,
-    /// The services.
+    /// Services and their backend servers.
     pub services: Vec<ServicePlan>,
-    /// Further lines for each instance's settings, by section.
+    /// Additional lines for the settings file of each instance, after its `[instance]` keys.
     pub settings: String,
 }
 
-/// One service of a deployment.
+/// Specification of one service.
 #[derive(Debug, Clone)]
 pub struct ServicePlan {
-    /// Its backend servers.
+    /// Options for its backend servers.
     pub shape: Shape,
-    /// Further lines for the operators' text.
+    /// Additional lines for the section of the service in the operators' text.
     pub text: String,
 }
 
-/// The backend servers of one running service.
+/// Running backend servers of one service.
 #[derive(Debug)]
 pub struct Backends {
-    /// The process that stands in for them.
+    /// Process that serves all of them.
     pub process: Process,
     /// Replicas as `zone@address`, by shard.
     pub shards: Vec<Vec<String>>,
 }
 
 impl Backends {
-    /// Starts the servers of one service.
+    /// Starts the backend servers of one service.
     ///
     /// # Errors
-    /// Fails if the process can't be started.
+    /// Fails if the process can't be started or prints no replica addresses.
     pub fn start(shape: &Shape) -> Result<Self, String> {
         let args: Vec<String> = [
             ("--service", shape.service.clone()),
@@ -78,14 +78,14 @@
         Ok(Self { process, shards: shards.map_err(|e| e.to_string())? })
     }
 
-    /// Addresses of all replicas.
+    /// Returns the addresses of all replicas, ordered by shard.
     #[must_use]
     pub fn addrs(&self) -> Vec<String> {
         self.shards.iter().flatten().map(|entry| addr_of(entry)).collect()
     }
 }
 
-/// The address in `zone@address`.
+/// Returns the address part of a `zone@address` entry.
 #[must_use]
 pub fn addr_of(entry: &str) -> String {
     entry.split('@').next_back().unwrap_or_default().to_owned()
@@ -94,30 +94,30 @@
 /// One running instance.
 #[derive(Debug)]
 pub struct Instance {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// The daemon.
+    /// Daemon process.
     pub process: Process,
 }
 
 impl Instance {
-    /// Base address for callers and operators.
+    /// Returns the base URL for callers and operators.
     #[must_use]
     pub fn url(&self) -> String {
         format!("http://{}", self.process.field("http"))
     }
 }
 
-/// A running deployment; everything ends when it is dropped.
+/// Running test cluster; dropping it kills all processes and deletes the settings files.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The platform.
+    /// Platform process.
     pub platform: Process,
-    /// The backend servers, by service.
+    /// Backend servers by service name.
     pub backends: BTreeMap<String, Backends>,
-    /// The instances.
+    /// Running instances.
     pub instances: Vec<Instance>,
     plan: Plan,
     folder: PathBuf,
@@ -125,10 +125,10 @@
 }
 
 impl Fleet {
-    /// Starts everything, submits the operators' text and waits until all are ready.
+    /// Starts all processes, submits the operators' text and waits until all instances are ready.
     ///
     /// # Errors
-    /// Fails if something can't be started or does not become ready.
+    /// Fails if a process can't be started or an instance does not become ready.
     pub async fn start(plan: Plan) -> Result<Self, String> {
         let fleet = Self::start_idle(plan)?;
         fleet.list_instances(0).await?;
@@ -138,17 +138,17 @@
         Ok(fleet)
     }
 
-    /// Starts everything, but lists no instance and submits nothing.
+    /// Starts all processes without publishing the instance list or submitting a text.
     ///
     /// # Errors
-    /// Fails if something can't be started.
+    /// Fails if a process can't be started.
     pub fn start_idle(plan: Plan) -> Result<Self, String> {
         let platform = Process::start("eelgrasspier-standin", &["platform".to_owned()])?;
         let mut backends = BTreeMap::new();
         for service in &plan.services {
             backends.insert(service.shape.service.clone(), Backends::start(&service.shape)?);
         }
-        // The name is unique as long as the platform's process lives.
+        // The process id keeps the name unique while the platform process runs.
         let folder = std::env::temp_dir().join(format!("eelgrasspier-{}", platform.id()));
         std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
         let count = plan.instances;
@@ -160,10 +160,10 @@
         Ok(fleet)
     }
 
-    /// Starts one more instance; it is not listed yet.
+    /// Starts another instance and returns its index; the platform does not list it yet.
     ///
     /// # Errors
-    /// Fails if it can't be started.
+    /// Fails if the daemon can't be started.
     pub fn add_instance(&mut self) -> Result<usize, String> {
         let number = self.started;
         self.started += 1;
@@ -174,10 +174,10 @@
         Ok(self.instances.len() - 1)
     }
 
-    /// Kills an instance and starts its successor under the same name.
+    /// Kills an instance and starts a new one with the same name and zone.
     ///
     /// # Errors
-    /// Fails if it can't be started.
+    /// Fails if the daemon can't be started.
     pub fn restart_instance(&mut self, at: usize) -> Result<(), String> {
         self.instances[at].process.kill();
         let Instance { name, zone, .. } = &self.instances[at];
@@ -204,7 +204,7 @@
         Process::start("eelgrasspierd", &[path.display().to_string()])
     }
 
-    /// The operators' text of this deployment.
+    /// Returns the operators' text that describes all services of the cluster.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
@@ -226,10 +226,10 @@
         text
     }
 
-    /// Tells the platform which instances there are, to be seen after `lag_ms`.
+    /// Sends the instance list to the platform, which publishes it after `lag_ms`.
     ///
     /// # Errors
-    /// Fails if the platform does not answer.
+    /// Fails if the platform does not accept the request.
     pub async fn list_instances(&self, lag_ms: u64) -> Result<(), String> {
         let listed = |i: &Instance| {
             let (name, zone) = (i.name.clone(), i.zone.clone());
@@ -239,16 +239,16 @@
         put(&self.platform_url(&format!("instances?lag_ms={lag_ms}")), &list).await
     }
 
-    /// A client for the administration API of the instance `at`.
+    /// Returns a client for the administration API of one instance.
     #[must_use]
     pub fn admin(&self, at: usize) -> AdminClient {
         AdminClient::new(&self.instances[at].url(), Some(TOKEN))
     }
 
-    /// Submits a text through the first instance; returns its version.
+    /// Submits a text through the first instance and returns the accepted version.
     ///
     /// # Errors
-    /// Fails if it is not accepted.
+    /// Fails if the edit is not accepted.
     pub async fn submit(&self, base: u64, edit_id: u64, text: &str) -> Result<u64, String> {
         let submitter = "standin".to_owned();
         let edit = Submitted { edit_id, base, submitter, text: text.to_owned() };
@@ -258,10 +258,10 @@
         }
     }
 
-    /// Waits until every instance is ready for callers.
+    /// Waits until every instance reports that it is ready for callers.
     ///
     /// # Errors
-    /// Fails if one does not become ready.
+    /// Fails if an instance does not become ready in time.
     pub async fn wait_ready(&self) -> Result<(), String> {
         for instance in &self.instances {
             let url = format!("{}/readyz", instance.url());
@@ -271,10 +271,10 @@
         Ok(())
     }
 
-    /// Waits until the first instance's status of all satisfies a condition.
+    /// Waits until the cluster status that the first instance reports satisfies a condition.
     ///
     /// # Errors
-    /// Fails if it never does.
+    /// Fails if the condition does not hold in time.
     pub async fn wait_status(
         &self,
         what: &str,
@@ -284,18 +284,18 @@
         until(what, async || admin.status().await.is_ok_and(|all| holds(&all))).await
     }
 
-    /// Sets the platform's faults.
+    /// Replaces the faults that the platform injects.
     ///
     /// # Errors
-    /// Fails if it does not answer.
+    /// Fails if the platform does not accept the request.
     pub async fn platform_faults(&self, faults: &PlatformFaults) -> Result<(), String> {
         put(&self.platform_url("faults"), faults).await
     }
 
-    /// Has the platform keep a copy of all objects (`copy`), or come back from it (`restore`).
+    /// Makes the platform back up all objects (`copy`) or restore the backup (`restore`).
     ///
     /// # Errors
-    /// Fails if it does not answer.
+    /// Fails if the platform does not accept the request.
     pub async fn tell_platform(&self, what: &str) -> Result<(), String> {
         put(&self.platform_url(what), &()).await
     }
@@ -304,41 +304,41 @@
         format!("http://{}/standin/{what}", self.platform.field("addr"))
     }
 
-    /// Calls that the platform has counted, by kind.
+    /// Returns the number of calls that the platform has received, by kind.
     ///
     /// # Errors
-    /// Fails if it does not answer.
+    /// Fails if the platform does not answer.
     pub async fn platform_calls(&self) -> Result<BTreeMap<String, u64>, String> {
         get(&self.platform_url("calls")).await
     }
 
-    /// Sets the faults of one replica, by its address.
+    /// Replaces the faults that the replica at an address injects.
     ///
     /// # Errors
-    /// Fails if it does not answer.
+    /// Fails if the replica does not accept the request.
     pub async fn backend_faults(&self, addr: &str, faults: &BackendFaults) -> Result<(), String> {
         put(&format!("http://{addr}/standin/faults"), faults).await
     }
 
-    /// Counters of every replica of a service, in the order of shards.
+    /// Returns the counters of every replica of a service, ordered by shard.
     ///
     /// # Errors
-    /// Fails if one does not answer.
+    /// Fails if a replica does not answer.
     pub async fn counters(&self, service: &str) -> Result<Vec<Counters>, String> {
         let addrs = self.backends.get(service).map(Backends::addrs).unwrap_or_default();
         counters_of(&addrs).await
     }
 
-    /// The metrics of one instance, as Prometheus reads them.
+    /// Returns the metrics of one instance in Prometheus text format.
     ///
     /// # Errors
-    /// Fails if it does not answer.
+    /// Fails if the instance does not answer.
     pub async fn metrics(&self, at: usize) -> Result<String, String> {
         let body = get_bytes(&format!("{}/metrics", self.instances[at].url())).await?;
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
 
-    /// Addresses of all instances, for load.
+    /// Returns the base URLs of all instances.
     #[must_use]
     pub fn urls(&self) -> Vec<String> {
         self.instances.iter().map(Instance::url).collect()
@@ -351,10 +351,10 @@
     }
 }
 
-/// Counters of the replicas at these addresses.
+/// Fetches the counters of the replicas at the given addresses.
 ///
 /// # Errors
-/// Fails if one does not answer.
+/// Fails if a replica does not answer.
 pub async fn counters_of(addrs: &[String]) -> Result<Vec<Counters>, String> {
     let mut all = Vec::new();
     for addr in addrs {
@@ -363,10 +363,10 @@
     Ok(all)
 }
 
-/// Waits until a condition holds.
+/// Polls a condition until it holds.
 ///
 /// # Errors
-/// Fails if it never does.
+/// Fails if the condition does not hold in time.
 pub async fn until(what: &str, holds: impl AsyncFn() -> bool) -> Result<(), String> {
     for _ in 0..MOST_LOOKS {
         if holds().await {
@@ -374,7 +374,7 @@
         }
         tokio::time::sleep(LOOK_EVERY).await;
     }
-    Err(format!("waited in vain until {what}"))
+    Err(format!("timed out waiting until {what}"))
 }
 
 async fn status(url: &str) -> Option<u16> {
--- a/crates/standin/src/gossip_net.rs
+++ b/crates/standin/src/gossip_net.rs
@@ -1,7 +1,7 @@
-//! Gossip state machines of many instances in one process and in virtual time.
+//! Gossip state machines of many instances in one process, run in virtual time.
 //!
-//! Not a simulator of a cluster: no faults but lost datagrams, no time but a
-//! counter. It measures how bytes and spread grow with the number of instances.
+//! Measures how traffic and propagation time grow with the number of instances. Lost
+//! datagrams are the only simulated fault.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -10,12 +10,12 @@
 use eelgrasspier_decide::share::Agreement;
 use prost::Message;
 
-/// Virtual time between two ticks, and the delay of a datagram, in milliseconds.
+/// Virtual time between ticks, and the delay of a datagram, in milliseconds.
 const TICK_MS: u64 = 50;
-/// Instances of which a starting one reads in the platform's list.
+/// Number of instances that each instance initially gets from the platform's list.
 const LISTED: usize = 16;
 
-/// One instance's control state.
+/// Control state of one instance.
 #[derive(Debug)]
 struct Node {
     membership: Membership,
@@ -23,7 +23,7 @@
     seen_epoch: u64,
 }
 
-/// Many instances and the datagrams between them.
+/// Simulated instances and the datagrams in flight between them.
 #[derive(Debug)]
 pub struct Net {
     nodes: Vec<Node>,
@@ -32,11 +32,11 @@
     now_ms: u64,
     random: u64,
     lost_per_mille: u64,
-    /// Bytes of all datagrams sent so far.
+    /// Total size of all datagrams sent, in bytes.
     pub sent_bytes: u64,
-    /// Datagrams sent so far.
+    /// Number of datagrams sent.
     pub sent: u64,
-    /// The longest datagram, in bytes.
+    /// Size of the largest datagram sent, in bytes.
     pub longest_bytes: u64,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl Net {
-    /// `count` instances that know a few of each other from the platform's list.
+    /// Creates `count` instances that each know a few others from the platform's list.
     #[must_use]
     pub fn new(count: usize, lost_per_mille: u64) -> Self {
         let listed: Vec<Listed> = (0..count)
@@ -70,13 +70,13 @@
         }
     }
 
-    /// Virtual time in milliseconds.
+    /// Returns the virtual time in milliseconds.
     #[must_use]
     pub fn now_ms(&self) -> u64 {
         self.now_ms
     }
 
-    /// Lets one tick pass.
+    /// Advances virtual time by one tick and delivers the datagrams in flight.
     pub fn tick(&mut self) {
         self.now_ms += TICK_MS;
         for (from, send) in std::mem::take(&mut self.in_flight) {
@@ -93,7 +93,9 @@
         }
     }
 
-    /// Lets time pass until `holds`, for at most `most_ms`; returns the time it took.
+    /// Advances time until `holds` returns true and returns the elapsed milliseconds.
+    ///
+    /// Returns `None` if this takes longer than `most_ms`.
     pub fn until(&mut self, most_ms: u64, holds: impl Fn(&Self) -> bool) -> Option<u64> {
         let start_ms = self.now_ms;
         while !holds(self) {
@@ -105,12 +107,12 @@
         Some(self.now_ms - start_ms)
     }
 
-    /// Puts a configuration version in force on one instance.
+    /// Sets the active configuration version of one instance.
     pub fn put_in_force(&mut self, at: usize, version: u64) {
         self.nodes[at].membership.update_own(|m| m.config_version = version);
     }
 
-    /// Whether every instance has heard of a version at least this high.
+    /// Returns true if every instance knows of this configuration version or a newer one.
     #[must_use]
     pub fn all_heard_of(&self, version: u64) -> bool {
         self.nodes.iter().all(|n| {
@@ -119,21 +121,21 @@
         })
     }
 
-    /// Whether every instance knows all others as live.
+    /// Returns true if every instance considers all others alive.
     #[must_use]
     pub fn is_joined(&self) -> bool {
         let count = self.nodes.len();
         self.nodes.iter().all(|n| n.membership.alive_count() == count)
     }
 
-    /// Whether all instances agree on shares.
+    /// Returns true if all instances agree on the division of connections.
     #[must_use]
     pub fn is_agreed(&self) -> bool {
         let count = self.nodes.len();
         self.nodes.iter().all(|n| n.agreement.is_agreed() && n.agreement.current().len() == count)
     }
 
-    /// Lets one instance leave as in a planned stop.
+    /// Removes one instance as in a planned stop.
     pub fn leave(&mut self, at: usize) {
         let random = self.next_random();
         self.nodes[at].membership.update_own(|m| m.state = State::Left as i32);
@@ -158,7 +160,7 @@
         }
     }
 
-    /// A fixed sequence, so that every run counts the same.
+    /// Returns the next number of a fixed xorshift sequence, which makes runs reproducible.
     fn next_random(&mut self) -> u64 {
         self.random ^= self.random << 13;
         self.random ^= self.random >> 7;
@@ -168,7 +170,7 @@
 }
 
 impl Node {
-    /// As control does: the members bound the share, whose digest is announced.
+    /// Updates the share agreement after a membership change and announces its digest.
     fn agree(&mut self) {
         if self.seen_epoch == self.membership.epoch() {
             return;
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for what surrounds the daemons, for tests, measurements and the demo.
+//! Test doubles for the services around the daemon, for tests, benchmarks and the demo.
 //!
-//! Small on purpose: a platform, backend servers, a load driver, and a fleet of
-//! processes on loopback. Nothing here is part of the daemon.
+//! Provides a minimal platform, backend servers, a load generator, and a test cluster of
+//! processes on loopback. The daemon itself does not depend on this crate.
 
 pub mod backends;
 pub mod compare;
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -1,4 +1,4 @@
-//! Load driver: open loop, and a check of every answer.
+//! Open-loop load generator that verifies every answer.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -15,14 +15,14 @@
 use crate::fleet::counters_of;
 use crate::report::{Report, Tally};
 
-/// Queries in progress beyond which the driver itself is too slow to be trusted.
+/// Number of tracked tasks above which finished ones are removed from the list.
 const MAX_IN_PROGRESS: usize = 20_000;
-/// Time past the deadline for which an answer is still waited for.
+/// Time to wait for an answer after its deadline.
 const GRACE: Duration = Duration::from_secs(2);
-/// Largest answer.
+/// Maximum size of an answer.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// What to offer.
+/// Options of the load generator.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Plan {
     /// Addresses of the instances, comma separated
@@ -31,22 +31,22 @@
     /// Service to query
     #[bpaf(long, argument("NAME"))]
     pub service: String,
-    /// Queries a second
+    /// Queries per second
     #[bpaf(long, argument("N"), fallback(100))]
     pub rate: u32,
-    /// Seconds to offer them for
+    /// Duration of the load, in seconds
     #[bpaf(long, argument("S"), fallback(10))]
     pub seconds: u32,
-    /// Deadline of each query
+    /// Deadline of each query, in milliseconds
     #[bpaf(long, argument("MS"), fallback(100))]
     pub deadline_ms: u64,
-    /// Team that asks
+    /// Team that sends the queries
     #[bpaf(long, argument("NAME"), fallback("default".to_owned()))]
     pub team: String,
-    /// Shards of the service, to count extra load
+    /// Number of shards of the service, to calculate extra load
     #[bpaf(long, argument("N"), fallback(20))]
     pub shards: u64,
-    /// Addresses of backend servers that count parts, comma separated
+    /// Addresses of backend servers whose part counters are read, comma separated
     #[bpaf(long, argument("ADDRS"), fallback(String::new()))]
     pub counters: String,
     /// Print JSON
@@ -54,10 +54,10 @@
     pub json: bool,
 }
 
-/// Runs the plan from the command line.
+/// Runs the load and prints the report.
 ///
 /// # Errors
-/// Fails if counters can't be read, or a promise was broken.
+/// Fails if counters can't be read or an answer violates a guarantee.
 pub async fn run_and_print(plan: &Plan) -> Result<(), String> {
     let report = run(plan).await?;
     if plan.json {
@@ -65,13 +65,17 @@
     } else {
         println!("{report}");
     }
-    if report.violations.is_empty() { Ok(()) } else { Err("promises were broken".to_owned()) }
+    if report.violations.is_empty() {
+        Ok(())
+    } else {
+        Err("answers violate guarantees of the interface".to_owned())
+    }
 }
 
-/// Runs the plan.
+/// Runs the load and returns the report.
 ///
 /// # Errors
-/// Fails if counters can't be read.
+/// Fails if the counters of backend servers can't be read.
 pub async fn run(plan: &Plan) -> Result<Report, String> {
     let counters: Vec<String> = list(&plan.counters);
     let before = parts(&counters).await?;
@@ -79,7 +83,7 @@
     offer(plan, &tally).await;
     let after = parts(&counters).await?;
     let tally = tally.borrow();
-    // Refused queries reach no backend server.
+    // Refused queries don't reach a backend server.
     let answered = tally.in_time + tally.late;
     Ok(tally.report(after - before, answered * plan.shards))
 }
@@ -92,7 +96,7 @@
     Ok(counters_of(addrs).await?.iter().map(|c| c.parts).sum())
 }
 
-/// Offers queries at a fixed rate, whatever becomes of earlier ones.
+/// Sends queries at a fixed rate, independent of the completion of earlier ones.
 async fn offer(plan: &Plan, tally: &Rc<RefCell<Tally>>) {
     let urls: Vec<String> = list(&plan.instances);
     let client = Client::builder().disable_timeout().finish();
@@ -119,13 +123,13 @@
 struct Query {
     client: Client,
     url: String,
-    /// When it should have been sent; latency counts from here.
+    /// Scheduled send time, from which latency is measured.
     due: Instant,
     number: u32,
     plan: Plan,
 }
 
-/// What a stand-in backend server says in a part.
+/// Body of a part, as written by the simulated backend servers.
 #[derive(Debug, Deserialize)]
 struct Said {
     service: String,
@@ -166,20 +170,22 @@
             Ok(Ok((_, bytes))) => match serde_json::from_slice::<Problem>(&bytes) {
                 Ok(problem) => {
                     if problem.verdict == "not_run" && problem.retry_after_ms.is_none() {
-                        tally.violated(format!("refusal without a time to come back: {problem:?}"));
+                        tally.violated(format!(
+                            "refusal with verdict not_run lacks retry_after_ms: {problem:?}"
+                        ));
                     }
                     tally.refused(format!("{} {}", problem.verdict, problem.kind), took_us);
                 }
-                Err(error) => tally.violated(format!("refusal that makes no sense: {error}")),
+                Err(error) => tally.violated(format!("invalid body of a refusal: {error}")),
             },
         }
     }
 
-    /// One snapshot, true coverage, whole and the caller's own.
+    /// Checks that an answer has one snapshot, consistent coverage and only parts of this query.
     fn check(&self, tally: &mut Tally, bytes: &[u8], body: &str) {
         let answer = match Answer::decode(bytes) {
             Ok(answer) => answer,
-            Err(error) => return tally.violated(format!("answer that makes no sense: {error}")),
+            Err(error) => return tally.violated(format!("invalid body of an answer: {error}")),
         };
         tally.covered += answer.covered.len() as u64;
         tally.wanted += (answer.covered.len() + answer.missed.len()) as u64;
@@ -193,7 +199,7 @@
     }
 }
 
-/// Every promise that an answer to a query for all shards breaks.
+/// Returns all guarantees that an answer to a query for all shards violates.
 #[must_use]
 pub fn problems(answer: &Answer, service: &str, body: &str) -> Vec<String> {
     let mut problems = Vec::new();
@@ -201,23 +207,28 @@
     let missed: BTreeSet<u32> = answer.missed.iter().map(|m| m.shard).collect();
     let brought: BTreeSet<u32> = answer.parts.iter().map(|p| p.shard).collect();
     if covered != brought || answer.parts.len() != answer.covered.len() {
-        problems.push(format!("covers {covered:?} but brings {brought:?}"));
+        problems
+            .push(format!("covered shards are {covered:?}, but parts are from shards {brought:?}"));
     }
     let all: BTreeSet<u32> = covered.union(&missed).copied().collect();
     if !covered.is_disjoint(&missed) || all != (0..answer.shard_count).collect() {
-        problems.push(format!("covered {covered:?} and missed {missed:?} are not all"));
+        problems
+            .push(format!("covered {covered:?} and missed {missed:?} don't add up to all shards"));
     }
     for part in &answer.parts {
         match serde_json::from_slice::<Said>(&part.body) {
             Ok(said) => {
                 if said.version != answer.index_version {
                     problems.push(format!(
-                        "shard {} is of version {}, not {}",
+                        "shard {} answered from version {} instead of {}",
                         part.shard, said.version, answer.index_version
                     ));
                 }
                 if said.shard != part.shard || said.service != service || said.echo != body {
-                    problems.push(format!("shard {} brings another's part", part.shard));
+                    problems.push(format!(
+                        "shard {} returned a part that belongs to another query",
+                        part.shard
+                    ));
                 }
             }
             Err(error) => problems.push(format!("shard {}: {error}", part.shard)),
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! Stand-ins from the command line.
+//! Command line of the test doubles, load generator and benchmarks.
 
 use std::process::ExitCode;
 
@@ -8,27 +8,27 @@
 #[global_allocator]
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
 
-/// What to stand in for.
+/// Test doubles and benchmarks for eelgrasspier
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 enum Command {
     #[bpaf(command)]
-    /// Stand in for the platform's object API
+    /// Serve a simulated platform
     Platform,
     #[bpaf(command)]
-    /// Stand in for all backend servers of one service
+    /// Serve simulated backend servers of one service
     Backends(#[bpaf(external(backends::shape))] backends::Shape),
     #[bpaf(command)]
-    /// Drive load at instances and print the three measures
+    /// Generate load on instances and report tail latency, coverage and extra load
     Load(#[bpaf(external(load::plan))] load::Plan),
     #[bpaf(command)]
-    /// Run a whole deployment on this machine and measure it
+    /// Run and measure a test cluster on this machine
     Demo(#[bpaf(external(demo::plan))] demo::Plan),
     #[bpaf(command)]
-    /// Compare ways of the policy under a fault
+    /// Compare replica choice and hedging policies under a fault
     Compare(#[bpaf(external(compare::plan))] compare::Plan),
     #[bpaf(command)]
-    /// Measure the slopes behind docs/CAPACITY.md
+    /// Measure the scaling figures for docs/CAPACITY.md
     Slopes(#[bpaf(external(slopes::plan))] slopes::Plan),
 }
 
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform: objects with versions, conditional updates, watches.
+//! Simulated platform: versioned objects, conditional updates, watches and the instance list.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,48 +10,48 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-/// Time for which a lost answer is held back; clients time out well before.
+/// Delay of an answer that counts as lost; clients time out well before it.
 const LOST: Duration = Duration::from_secs(20);
-/// Largest object.
+/// Maximum size of an object.
 const MAX_OBJECT_BYTES: usize = 1 << 20;
 
-/// Faults that the platform shows.
+/// Faults injected into the platform.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Answers 503 to everything.
+    /// Answers 503 to all object and instance list requests.
     pub is_down: bool,
-    /// Delays every answer by this much.
+    /// Delay of each object request, in milliseconds.
     pub delay_ms: u64,
-    /// The answers to the next so many updates are lost after they took effect.
+    /// Number of coming updates that take effect, but whose answers are lost.
     pub lost_updates: u32,
-    /// The next so many updates are lost before they take effect.
+    /// Number of coming updates that are lost before they take effect.
     pub dropped_updates: u32,
-    /// Reads show the version before the last, as from a replica that lags.
+    /// Reads return the previous version, as from a lagging replica.
     pub is_stale: bool,
 }
 
-/// An instance in the list.
+/// Entry of the instance list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
-    /// Its name.
+    /// Name of the instance.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: String,
-    /// Where it gossips.
+    /// Address on which the instance receives gossip.
     pub peer_addr: String,
 }
 
 #[derive(Debug, Default)]
 struct State {
     objects: BTreeMap<String, Vec<(u64, Bytes)>>,
-    /// What a restore brings back.
+    /// Backup of `objects` that a restore brings back.
     copy: BTreeMap<String, Vec<(u64, Bytes)>>,
-    /// How often it was restored; told once it is above 0.
+    /// Number of restores; sent in the `store-era` header if above 0.
     era: u64,
     faults: Faults,
     listed: Vec<Listed>,
-    /// A newer list and when it is to be seen.
+    /// Next instance list and the time at which it becomes visible.
     next_list: Option<(Instant, Vec<Listed>)>,
     calls: BTreeMap<&'static str, u64>,
 }
@@ -73,7 +73,7 @@
         state.faults.clone()
     }
 
-    /// The visible version of an object, and its value.
+    /// Returns the visible version and value of an object.
     fn read(&self, name: &str) -> Option<(u64, Bytes)> {
         let state = self.lock();
         let versions = state.objects.get(name)?;
@@ -90,7 +90,7 @@
         self.changed.notify_waiters();
     }
 
-    /// The answer with the header that tells of restores.
+    /// Adds the `store-era` header to an answer if the platform has been restored.
     fn mark(&self, mut answer: HttpResponse) -> HttpResponse {
         let era = self.lock().era;
         if era > 0 {
@@ -120,7 +120,7 @@
 
 type PlatformData = Data<Arc<Platform>>;
 
-/// Serves on a free port, printed as one line of JSON, until killed.
+/// Serves on a free port until killed; prints the address as one line of JSON.
 ///
 /// # Errors
 /// Fails if no port can be bound.
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes on loopback that end with their owner.
+//! Child processes that are killed when their owner is dropped.
 
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -6,19 +6,19 @@
 
 use serde_json::Value;
 
-/// A process that has printed its first line; killed when dropped.
+/// Child process that has printed its startup line; killed when dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
-    /// What its first line said.
+    /// JSON object that the process printed at startup.
     pub said: Value,
 }
 
 impl Process {
-    /// Starts a program of this workspace and waits for its first line of JSON.
+    /// Starts a program of this workspace and waits for its startup line of JSON.
     ///
     /// # Errors
-    /// Fails if it can't be started or says nothing.
+    /// Fails if the program can't be started or does not print JSON.
     pub fn start(program: &str, args: &[String]) -> Result<Self, String> {
         let path = find(program)?;
         let mut child = Command::new(&path)
@@ -28,7 +28,7 @@
             .stdout(Stdio::piped())
             .spawn()
             .map_err(|e| format!("{}: {e}", path.display()))?;
-        let stdout = child.stdout.take().ok_or("no output")?;
+        let stdout = child.stdout.take().ok_or("standard output of the child is not captured")?;
         let mut line = String::new();
         BufReader::new(stdout).read_line(&mut line).map_err(|e| e.to_string())?;
         let said = serde_json::from_str(&line).map_err(|e| format!("{program}: {line:?}: {e}"));
@@ -39,36 +39,36 @@
         Ok(Self { child, said: said? })
     }
 
-    /// A field of the first line.
+    /// Returns a string field of the startup line, or an empty string.
     #[must_use]
     pub fn field(&self, name: &str) -> String {
         self.said[name].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Its process id.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal such as `STOP`, by the system's own tool.
+    /// Sends a signal such as `STOP` with the `kill` command.
     pub fn signal(&self, name: &str) {
         let mut kill = Command::new("kill");
         drop(kill.arg(format!("-{name}")).arg(self.id().to_string()).status());
     }
 
-    /// Kills it at once and waits until it is gone.
+    /// Kills the process and waits for it to exit.
     pub fn kill(&mut self) {
         drop(self.child.kill());
         drop(self.child.wait());
     }
 
-    /// Whether it has ended.
+    /// Returns true if the process has exited.
     pub fn has_ended(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Processor time so far in milliseconds, and resident memory in kilobytes.
+    /// Returns CPU time used in milliseconds and resident memory in kilobytes.
     #[must_use]
     pub fn usage(&self) -> (u64, u64) {
         const TICK_MS: u64 = 10;
@@ -79,7 +79,7 @@
             std::fs::read_to_string(format!("/proc/{}/{file}", self.id())).unwrap_or_default()
         };
         let stat = read("stat");
-        // Fields are counted after the name, which may hold spaces.
+        // Fields are counted after the process name, which may contain spaces.
         let after = stat.rsplit(')').next().unwrap_or_default();
         let fields: Vec<u64> =
             after.split_whitespace().skip(1).map(|f| f.parse().unwrap_or(0)).collect();
@@ -96,14 +96,14 @@
     }
 }
 
-/// Finds a program beside this one, or one folder up as for tests.
+/// Finds a program in the directory of the current one or, for tests, in its parent.
 ///
 /// # Errors
-/// Fails if it is not built.
+/// Fails if the program is not built.
 pub fn find(program: &str) -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|e| e.to_string())?;
     let folders = own.ancestors().skip(1).take(2);
     let paths: Vec<PathBuf> = folders.map(|folder: &Path| folder.join(program)).collect();
     let found = paths.iter().find(|path| path.is_file());
-    found.cloned().ok_or_else(|| format!("{program} is not built: cargo build --workspace"))
+    found.cloned().ok_or_else(|| format!("{program} not found; run `cargo build --workspace`"))
 }
--- a/crates/standin/src/report.rs
+++ b/crates/standin/src/report.rs
@@ -1,40 +1,40 @@
-//! Tail latency, coverage and extra load of one run, and broken promises.
+//! Tail latency, coverage and extra load of a load test, and violated guarantees.
 
 use std::collections::BTreeMap;
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Longest latency that is told apart, in microseconds.
+/// Maximum latency that the histograms distinguish, in microseconds.
 const MAX_LATENCY_US: u64 = 120_000_000;
-/// Broken promises that are described.
+/// Maximum number of violations that are kept.
 const MAX_DESCRIBED: usize = 20;
 
-/// What has been measured so far.
+/// Measurements collected during a load test.
 #[derive(Debug)]
 pub struct Tally {
     latency_us: Histogram<u64>,
     accepted_us: Histogram<u64>,
     refused_us: Histogram<u64>,
-    /// Queries offered.
+    /// Queries sent.
     pub offered: u64,
-    /// Answers that came within the deadline.
+    /// Answers received within the deadline.
     pub in_time: u64,
-    /// Answers that came after it.
+    /// Answers received after the deadline.
     pub late: u64,
-    /// Answers with every shard.
+    /// Answers that cover all shards.
     pub full: u64,
     /// Missed shards by reason.
     pub missed: BTreeMap<String, u64>,
     /// Refusals by verdict and kind.
     pub refused: BTreeMap<String, u64>,
-    /// Queries that ended without an answer, by error.
+    /// Queries without an answer, by error.
     pub lost: BTreeMap<String, u64>,
-    /// Shards covered and wanted over all offered queries.
+    /// Shards covered, summed over all answers.
     pub covered: u64,
-    /// Shards wanted over all offered queries.
+    /// Shards expected, summed over all answers.
     pub wanted: u64,
-    /// Broken promises.
+    /// Violated guarantees, up to [`MAX_DESCRIBED`].
     pub violations: Vec<String>,
 }
 
@@ -63,32 +63,32 @@
 }
 
 impl Tally {
-    /// Notes how long an answered query took.
+    /// Records the latency of an answered query.
     pub fn answered(&mut self, took_us: u64) {
         self.latency_us.saturating_record(took_us);
         self.accepted_us.saturating_record(took_us);
     }
 
-    /// Notes a refusal.
+    /// Records a refusal and its latency.
     pub fn refused(&mut self, kind: String, took_us: u64) {
         *self.refused.entry(kind).or_default() += 1;
         self.refused_us.saturating_record(took_us);
     }
 
-    /// Notes a query that got no answer; its latency counts as without end.
+    /// Records a query without an answer; its latency counts as the histogram's maximum.
     pub fn lost(&mut self, error: String) {
         *self.lost.entry(error).or_default() += 1;
         self.latency_us.saturating_record(MAX_LATENCY_US);
     }
 
-    /// Notes a broken promise.
+    /// Records a violated guarantee.
     pub fn violated(&mut self, what: String) {
         if self.violations.len() < MAX_DESCRIBED {
             self.violations.push(what);
         }
     }
 
-    /// The report, with parts that the backend servers counted meanwhile.
+    /// Returns the report; `parts` is the number that backend servers started during the test.
     #[must_use]
     pub fn report(&self, parts: u64, wanted_parts: u64) -> Report {
         const MS_US: f64 = 1000.0;
@@ -114,42 +114,42 @@
     }
 }
 
-/// A quotient for display; 0 where there is nothing to divide by.
+/// Returns a quotient for display, or 0 if the divisor is 0.
 #[expect(clippy::cast_precision_loss, reason = "for display only")]
 fn ratio(part: u64, whole: u64) -> f64 {
     if whole == 0 { 0.0 } else { part as f64 / whole as f64 }
 }
 
-/// The three measures of one run.
+/// Results of a load test.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// Queries offered.
+    /// Queries sent.
     pub offered: u64,
-    /// Answers within the deadline.
+    /// Answers received within the deadline.
     pub in_time: u64,
-    /// Answers after it, which count as lost.
+    /// Answers received after the deadline.
     pub late: u64,
-    /// Answers with every shard.
+    /// Answers that cover all shards.
     pub full: u64,
     /// Missed shards by reason.
     pub missed: BTreeMap<String, u64>,
     /// Refusals by verdict and kind.
     pub refused: BTreeMap<String, u64>,
-    /// Queries without any answer.
+    /// Queries without an answer, by error.
     pub lost: BTreeMap<String, u64>,
-    /// Median latency of answers.
+    /// Median latency; queries without an answer count as the maximum.
     pub p50_ms: f64,
-    /// 99 in 100 answers came within this.
+    /// 99th percentile of latency.
     pub p99_ms: f64,
-    /// 999 in 1000 answers came within this.
+    /// 99.9th percentile of latency.
     pub p999_ms: f64,
-    /// 99 in 100 refusals came within this.
+    /// 99th percentile of the latency of refusals.
     pub refused_p99_ms: f64,
-    /// Shards covered, of those wanted by answered queries.
+    /// Percentage of the expected shards that answers covered.
     pub coverage_percent: f64,
-    /// Parts that backend servers began beyond one for each shard wanted.
+    /// Parts started beyond one for each expected shard, as a percentage.
     pub extra_load_percent: f64,
-    /// Broken promises; there must be none.
+    /// Violated guarantees; any entry is a failure.
     pub violations: Vec<String>,
 }
 
@@ -167,7 +167,7 @@
         )?;
         writeln!(f, "coverage      {:.3} %", self.coverage_percent)?;
         writeln!(f, "extra load    {:.2} %", self.extra_load_percent)?;
-        write!(f, "broken promises: {}", self.violations.len())?;
+        write!(f, "violated guarantees: {}", self.violations.len())?;
         for violation in &self.violations {
             write!(f, "\n  {violation}")?;
         }
--- a/crates/standin/src/slopes.rs
+++ b/crates/standin/src/slopes.rs
@@ -1,4 +1,4 @@
-//! How time and bytes of decisions grow with what they are made from.
+//! Measures how the cost of gossip and of routing decisions grows with cluster size.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -11,12 +11,12 @@
 
 use crate::gossip_net::Net;
 
-/// Longest virtual time that is waited for anything.
+/// Maximum virtual time to wait for a condition.
 const MOST_MS: u64 = 300_000;
-/// Virtual time over which steady gossip is counted.
+/// Virtual time over which steady-state gossip is measured.
 const STEADY_MS: u64 = 10_000;
 
-/// What to measure.
+/// Options of the measurements.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Plan {
     /// Instance counts for gossip, comma separated
@@ -24,10 +24,10 @@
     pub members: String,
 }
 
-/// Measures and prints every slope.
+/// Runs all measurements and prints their tables.
 ///
 /// # Errors
-/// Fails if a count is no number.
+/// Fails if an instance count is not a number.
 pub fn run(plan: &Plan) -> Result<(), String> {
     println!("gossip, in virtual time, 1 % of datagrams lost");
     println!(
@@ -35,7 +35,7 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for count in plan.members.split(',') {
-        let count = count.trim().parse().map_err(|_| format!("{count} is no number"))?;
+        let count = count.trim().parse().map_err(|_| format!("{count} is not a number"))?;
         println!("{}", gossip(count));
     }
     println!("\nshares of 21,000 replicas: time to compute all anew");
