--- a/crates/standin/tests/commands.rs
+++ b/crates/standin/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The operators' command line, through the real binary.
+//! Tests of the operators' command line that run the actual binary.
 
 mod common;
 
@@ -12,7 +12,7 @@
     command.args(args);
     command.env("EELGRASSPIER_INSTANCE", fleet.instances[0].url());
     command.env("EELGRASSPIER_TOKEN", eelgrasspier_standin::fleet::TOKEN);
-    // In a thread of its own, as this one serves the test's own clients.
+    // Runs in a separate thread because this one drives the HTTP clients of the test.
     actix_web::web::block(move || command.output()).await.unwrap().unwrap()
 }
 
@@ -24,8 +24,8 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-/// An operator checks, submits, looks, and reads the story of the edit from all
-/// instances in one order: accepted first, in force everywhere after it.
+/// Checks and submits a text, then reads it, the status and the timeline of the edit, which
+/// merges the events of all instances.
 #[actix_web::test]
 async fn an_operator_submits_a_text_and_reads_its_story() {
     let fleet = common::fleet(3, 2).await;
@@ -58,7 +58,7 @@
     assert!(out(&about_edit).contains("E204 edit accepted"), "{}", out(&about_edit));
 }
 
-/// A run's claim, send and answer stand in that order, by its request id.
+/// The timeline of a request id lists claim, send and answer of the run in this order.
 #[actix_web::test]
 async fn the_time_line_tells_what_became_of_a_run() {
     let fleet = common::fleet(2, 1).await;
--- a/crates/standin/tests/common/fuse.rs
+++ b/crates/standin/tests/common/fuse.rs
@@ -1,5 +1,7 @@
-//! A loopback proxy before one backend server that plays its process: it ends under a request
-//! whose bytes contain [`ENDS`], and starts again a little later.
+//! Loopback proxy in front of one backend server that simulates crashes of the server.
+//!
+//! It closes all connections and its port when a request contains [`ENDS`], and listens
+//! again after [`DOWN`].
 
 use std::cell::Cell;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -12,26 +14,26 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// What ends it.
+/// Bytes in a request that trigger a crash.
 pub const ENDS: &[u8] = b"ends the server";
-/// Time for which it is down.
+/// Time between a crash and the restart.
 const DOWN: Duration = Duration::from_millis(700);
-/// Ports that the system gives to nobody else while it is down.
+/// Ports outside the ephemeral range, so that the port stays free during a crash.
 const PORTS: std::ops::Range<u16> = 32_000..32_700;
 const TRIES: usize = 200;
 
-/// The proxy.
+/// Proxy in front of one backend server.
 #[derive(Debug)]
 pub struct Fuse {
     pub addr: SocketAddr,
     server: SocketAddr,
-    /// How often it has ended.
+    /// Number of crashes.
     ends: watch::Sender<u32>,
     last: Cell<Option<Instant>>,
 }
 
 impl Fuse {
-    /// Starts one before `server`.
+    /// Starts a proxy in front of `server`.
     pub async fn start(server: SocketAddr) -> Rc<Self> {
         let mut bound = None;
         for _ in 0..TRIES {
@@ -41,7 +43,7 @@
                 break;
             }
         }
-        let listener = bound.expect("a port is free");
+        let listener = bound.expect("a port in the range should be free");
         let addr = listener.local_addr().unwrap();
         let (ends, _) = watch::channel(0);
         let fuse = Rc::new(Self { addr, server, ends, last: Cell::new(None) });
@@ -49,7 +51,7 @@
         fuse
     }
 
-    /// How often it has ended.
+    /// Returns the number of crashes.
     pub fn ends(&self) -> u32 {
         *self.ends.borrow()
     }
@@ -60,7 +62,9 @@
             self.accept(&listener, &mut ends).await;
             drop(listener);
             tokio::time::sleep(DOWN).await;
-            listener = TcpListener::bind(self.addr).await.expect("its port is kept free");
+            listener = TcpListener::bind(self.addr)
+                .await
+                .expect("the port should still be free after the downtime");
         }
     }
 
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small deployment, and requests to it.
+//! Small test clusters and requests to them.
 #![allow(dead_code, reason = "each test file uses its own part of this module")]
 
 pub mod fuse;
@@ -10,10 +10,10 @@
 use eelgrasspier_standin::load;
 use prost::Message;
 
-/// The service that tests query.
+/// Name of the service that tests query.
 pub const SERVICE: &str = "search";
 
-/// A service with two replicas for each shard, and connections for runs.
+/// Returns a service with two replicas per shard and connections reserved for runs.
 pub fn service(shards: u32) -> ServicePlan {
     let shape = Shape {
         service: SERVICE.to_owned(),
@@ -29,7 +29,7 @@
     ServicePlan { shape, text: "run_connections = 8\n".to_owned() }
 }
 
-/// The plan of a small deployment.
+/// Returns the specification of a small test cluster.
 pub fn plan(instances: usize, shards: u32) -> Plan {
     Plan {
         instances,
@@ -39,12 +39,12 @@
     }
 }
 
-/// A small deployment that is ready.
+/// Starts a small test cluster and waits until it is ready.
 pub async fn fleet(instances: usize, shards: u32) -> Fleet {
     Fleet::start(plan(instances, shards)).await.unwrap()
 }
 
-/// Gentle load with a deadline that a busy machine can keep.
+/// Returns load options with a deadline that a busy machine can meet.
 pub fn load_plan(fleet: &Fleet, rate: u32, seconds: u32) -> load::Plan {
     load::Plan {
         instances: fleet.urls().join(","),
@@ -59,18 +59,18 @@
     }
 }
 
-/// Parts that all backend servers have begun.
+/// Returns the number of parts that all backend servers have started.
 pub async fn parts(fleet: &Fleet) -> u64 {
     fleet.counters(SERVICE).await.unwrap().iter().map(|c| c.parts).sum()
 }
 
-/// Runs that backend servers have begun for a key.
+/// Returns the number of runs that backend servers have started for a key.
 pub async fn runs(fleet: &Fleet, key: &str) -> u64 {
     let counters = fleet.counters(SERVICE).await.unwrap();
     counters.iter().filter_map(|c| c.runs.get(key)).sum()
 }
 
-/// What came back over HTTP.
+/// HTTP response of an instance.
 #[derive(Debug)]
 pub struct Reply {
     pub status: u16,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Posts a request to one instance.
+/// Sends a POST request to one instance.
 pub async fn post(url: &str, headers: &[(&str, &str)], body: Vec<u8>) -> Result<Reply, String> {
     let client = Client::builder().disable_timeout().finish();
     let mut request = client.post(url).insert_header(("accept", "application/x-protobuf"));
@@ -111,7 +111,7 @@
     Ok(Reply { status, body, retry_after, request_id })
 }
 
-/// A query to one instance.
+/// Sends a query to one instance.
 pub async fn query(
     fleet: &Fleet,
     at: usize,
@@ -123,19 +123,19 @@
     post(&url, headers, body).await.unwrap()
 }
 
-/// A request that must not run twice, to one instance.
+/// Sends a run with an idempotency key to one instance.
 pub async fn run(fleet: &Fleet, at: usize, key: &str, deadline_ms: u64) -> Result<Reply, String> {
     let url = format!("{}/v1/services/{SERVICE}/run", fleet.instances[at].url());
     let deadline = deadline_ms.to_string();
     post(&url, &[("deadline-ms", &deadline), ("idempotency-key", key)], b"run".to_vec()).await
 }
 
-/// A fresh idempotency key.
+/// Returns a new idempotency key.
 pub fn key() -> String {
     uuid::Uuid::now_v7().to_string()
 }
 
-/// Status of a GET.
+/// Sends a GET request and returns the status.
 pub async fn get(url: &str) -> Result<u16, String> {
     let answer = Client::default().get(url).send().await.map_err(|e| e.to_string())?;
     Ok(answer.status().as_u16())
--- a/crates/standin/tests/configuration.rs
+++ b/crates/standin/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration under races, lost answers, restarts and outages.
+//! Configuration updates under races, lost answers, restarts and outages.
 
 mod common;
 
@@ -14,16 +14,15 @@
 async fn wait_in_force(fleet: &Fleet, version: u64) {
     let count = fleet.instances.len();
     fleet
-        .wait_status(&format!("version {version} is in force everywhere"), |all| {
+        .wait_status(&format!("version {version} is active on all instances"), |all| {
             all.len() == count && all.iter().all(|s| s.config_version == Some(version))
         })
         .await
         .unwrap();
 }
 
-/// Symptom: an operator's change disappears without a word.
-/// Sequence: two operators edit the same version and submit at the same moment.
-/// Cause: an update without the version overwrites the other's edit.
+/// Guards against lost edits: two operators submit edits of the same version concurrently.
+/// An update that is not conditional on the version would overwrite the other edit.
 #[actix_web::test]
 async fn of_two_racing_edits_one_is_accepted_and_the_other_told() {
     let fleet = common::fleet(3, 2).await;
@@ -42,10 +41,8 @@
     }
 }
 
-/// Symptom: an operator is told of a conflict with its own edit.
-/// Sequence: the update takes effect, its answer is lost, the retry finds the text
-/// changed.
-/// Cause: without the edit's id nobody can tell the own edit from another's.
+/// Guards against an edit that conflicts with itself: the update takes effect, its answer is
+/// lost, and the retry finds the text changed. The edit id identifies it as the same edit.
 #[actix_web::test]
 async fn an_edit_whose_answer_is_lost_is_found() {
     let fleet = common::fleet(2, 2).await;
@@ -53,16 +50,15 @@
     fleet.platform_faults(&lost).await.unwrap();
     let answer = fleet.admin(0).submit(&edit(1, 7, &fleet.text())).await.unwrap();
     assert_eq!(answer, SubmitAnswer::Accepted { version: 2 });
-    // The same edit once more, as by an operator who was cut off, changes nothing.
+    // Submitting the same edit again, as after a lost connection, changes nothing.
     let again = fleet.admin(1).submit(&edit(1, 7, &fleet.text())).await.unwrap();
     assert_eq!(again, SubmitAnswer::Accepted { version: 2 });
     wait_in_force(&fleet, 2).await;
 }
 
-/// Symptom: a withdrawn replica gets work again after an instance was replaced.
-/// Sequence: version 2 is in force; the platform serves a stale answer, or none at
-/// all; an instance restarts.
-/// Cause: an instance that trusts the platform alone takes version 1, or none.
+/// Guards against requests to a removed replica after a restart: version 2 is active, and an
+/// instance restarts while the platform serves a stale answer or none. An instance that reads
+/// only from the platform would load version 1 or no text.
 #[actix_web::test]
 async fn a_restarted_instance_gets_the_newest_text_from_its_peers() {
     let mut fleet = common::fleet(3, 2).await;
@@ -80,7 +76,7 @@
             let is_ready = common::get(&format!("{url}/readyz")).await == Ok(200);
             if is_ready {
                 let shown = admin.text().await.unwrap();
-                assert_eq!(shown.version, 2, "ready with an old text");
+                assert_eq!(shown.version, 2, "instance is ready with an outdated text");
             }
             is_ready
         })
@@ -89,7 +85,7 @@
     }
 }
 
-/// Texts with errors, and edits without the token, change nothing.
+/// Texts with errors and edits without a valid token are refused and change nothing.
 #[actix_web::test]
 async fn broken_texts_and_strangers_are_refused() {
     let fleet = common::fleet(1, 1).await;
--- a/crates/standin/tests/ending.rs
+++ b/crates/standin/tests/ending.rs
@@ -1,10 +1,9 @@
-//! Requests that end the backend servers which run them, at the own interface.
+//! Requests that crash the backend servers that process them, sent over the native interface.
 //!
-//! Symptom: one query ended a server of each shard with each attempt of its caller, at whatever
-//! instance; a run that ended its server did so again with each new key.
-//! Sequence: the first sends ended one server of each shard, the retries the others; the caller
-//! came again to the next instance.
-//! Cause: nothing was remembered of a request whose servers had ended.
+//! Guards against crashes that repeat with each retry: the first attempt crashes one replica of
+//! each shard, its retries crash the others, and the caller then retries on another instance.
+//! This happened with queries, and with runs that were sent again under a new key, because
+//! instances did not record which requests had crashed a server.
 
 mod common;
 
@@ -19,7 +18,7 @@
 const SHARDS: u32 = 6;
 const INSTANCES: usize = 3;
 
-/// A deployment whose backend servers end under some requests.
+/// Starts a test cluster whose backend servers crash on requests that contain [`ENDS`].
 async fn fleet() -> (Fleet, Vec<Rc<Fuse>>) {
     let fleet = Fleet::start_idle(common::plan(INSTANCES, SHARDS)).unwrap();
     fleet.list_instances(0).await.unwrap();
@@ -39,7 +38,7 @@
     fuses.iter().map(|f| f.ends()).sum()
 }
 
-/// Waits until all servers that have ended are back and were found so.
+/// Waits until crashed servers have restarted and the instances have detected it.
 async fn settle() {
     tokio::time::sleep(Duration::from_secs(3)).await;
 }
@@ -55,10 +54,10 @@
         *verdicts.entry(reply.problem().verdict).or_default() += 1;
         settle().await;
     }
-    // One server of each shard, one more before the second loss was seen, two trials.
+    // One server per shard, one more before the second crash is detected, and two trials.
     let ended = ends(&fuses);
-    println!("{ended} servers ended: {verdicts:?}");
-    assert!(ended <= SHARDS + 4, "{ended} servers ended: {verdicts:?}");
+    println!("{ended} servers crashed: {verdicts:?}");
+    assert!(ended <= SHARDS + 4, "{ended} servers crashed: {verdicts:?}");
     assert!(verdicts["not_run"] >= 7, "{verdicts:?}");
 }
 
--- a/crates/standin/tests/members.rs
+++ b/crates/standin/tests/members.rs
@@ -1,4 +1,4 @@
-//! Instances and backend servers that come, leave, pause and die.
+//! Instances and backend servers that join, leave, pause and crash.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use eelgrasspier_standin::platform::Faults as PlatformFaults;
 use futures_util::future::join;
 
-/// Connections that the stand-in's own questions may hold to a replica.
+/// Connections to a replica that the requests of the test itself may hold.
 const TEST_CONNECTIONS: u64 = 1;
 
 async fn peak_connections(fleet: &Fleet) -> u64 {
@@ -22,10 +22,9 @@
     fleet.counters(common::SERVICE).await.unwrap().iter().map(|c| c.after_drain).sum()
 }
 
-/// Symptom: a server that is being taken away still gets work and cuts it off.
-/// Sequence: a server says in its answers that it is leaving; the platform's list
-/// lags behind.
-/// Cause: each instance would have to find out for itself, by sending it work.
+/// Guards against requests that fail on a draining server: it announces the drain in its answers
+/// before the platform's list changes. Instances share this information; otherwise each would
+/// learn of the drain only from a request of its own.
 #[actix_web::test]
 async fn a_leaving_server_gets_no_new_work_from_any_instance() {
     let fleet = common::fleet(4, 2).await;
@@ -36,13 +35,13 @@
         let faults = Faults { is_draining: true, ..Faults::default() };
         fleet.backend_faults(&addr, &faults).await.unwrap();
         fleet
-            .wait_status("all know of the leaving server", |all| {
+            .wait_status("all instances know of the draining server", |all| {
                 all.len() == 4 && all.iter().all(|s| s.leaving_servers == 1)
             })
             .await
             .unwrap();
         let before = after_drain(&fleet).await;
-        // A part that was on its way may still arrive.
+        // Parts already in flight may still arrive.
         tokio::time::sleep(Duration::from_secs(1)).await;
         let settled = after_drain(&fleet).await;
         tokio::time::sleep(Duration::from_secs(3)).await;
@@ -50,15 +49,17 @@
     };
     let (report, (before, settled, last)) = join(load::run(&plan), drain).await;
     let report = report.unwrap();
-    assert_eq!(settled, last, "work after all knew: {before} {settled} {last}");
+    assert_eq!(
+        settled, last,
+        "requests after all instances knew of the drain: {before} {settled} {last}"
+    );
     assert_eq!(report.violations, Vec::<String>::new());
     assert_eq!(report.full, report.offered, "{report}");
 }
 
-/// Symptom: a replica refuses connections, because instances together hold too many.
-/// Sequence: all instances are replaced one by one, each new one starting before an
-/// old one stops, while the platform's list lags and queries run.
-/// Cause: two instances count different members at the same moment.
+/// Guards against exceeding the connection limit of a replica: all instances are replaced one by
+/// one, each new one starting before an old one stops, while the platform's list lags and queries
+/// run. The limit was exceeded when two instances divided it by different member lists.
 #[actix_web::test]
 async fn shares_hold_while_all_instances_are_replaced() {
     let mut fleet = common::fleet(3, 2).await;
@@ -72,7 +73,7 @@
         assert_eq!(report.lost.len(), 0, "{name}: {report}");
         let mut old = fleet.instances.remove(0);
         old.process.signal("TERM");
-        until("the old instance has stopped", async || {
+        until("the old instance stops listening", async || {
             common::get(&format!("{}/healthz", old.url())).await.is_err()
         })
         .await
@@ -92,10 +93,9 @@
     assert!(peak <= 25 + TEST_CONNECTIONS, "{peak} connections at one replica");
 }
 
-/// Symptom: a planned stop cuts requests.
-/// Sequence: an instance is told to stop while queries run on it and keep coming for
-/// as long as the balancer lags.
-/// Cause: a server that closes idle connections at once cuts what is written on them.
+/// Guards against requests aborted by a planned stop: an instance receives SIGTERM while it runs
+/// queries, and gets new ones until the load balancer notices. A server that closes idle
+/// connections immediately aborts requests that are just being written to them.
 #[actix_web::test]
 async fn a_planned_stop_cuts_nothing() {
     let mut fleet = common::fleet(2, 2).await;
@@ -109,12 +109,12 @@
         tokio::time::sleep(Duration::from_millis(after_ms)).await;
         common::post(&query, headers, vec![]).await
     };
-    // The stop comes at 50 ms; the balancer notices at 300 ms, before the 500 ms in
-    // which the instance still serves are over.
+    // SIGTERM is sent at 50 ms. The load balancer notices at 300 ms, within the 500 ms for
+    // which the instance still accepts requests.
     let stop = async {
         tokio::time::sleep(Duration::from_millis(50)).await;
         process.signal("TERM");
-        until("the instance says that it is not ready", async || {
+        until("the instance reports that it is not ready", async || {
             common::get(&format!("{url}/readyz")).await == Ok(503)
         })
         .await
@@ -123,38 +123,39 @@
     let offers = futures_util::future::join_all([0, 20, 100, 200, 300].map(offer));
     let (answers, ()) = join(offers, stop).await;
     for answer in answers {
-        let answer = answer.expect("a request was cut").answer();
+        let answer = answer.expect("the request should not be aborted").answer();
         assert_eq!(answer.missed, vec![]);
     }
-    until("the instance has ended", async || common::get(&query).await.is_err()).await.unwrap();
+    until("the instance has exited", async || common::get(&query).await.is_err()).await.unwrap();
     fleet.instances.truncate(1);
     let answer = common::query(&fleet, 0, common::SERVICE, headers, vec![]).await;
     assert_eq!(answer.status, 200);
 }
 
-/// Symptom: an instance that crashed keeps its share for ever, or another takes it
-/// though it was only paused.
-/// Sequence: one instance is paused, the others take it for dead; the platform still
-/// lists it, then no longer does; it wakes up.
-/// Cause: silence alone does not tell a pause from a crash.
+/// Guards against a crashed instance that keeps its share, and against a paused instance that
+/// loses it: an instance is paused and considered dead by the others, the platform removes it
+/// from its list, and it resumes. Missing heartbeats alone don't distinguish a pause from a crash.
 #[actix_web::test]
 async fn a_paused_instance_keeps_its_share_until_the_platform_drops_it() {
     let mut fleet = common::fleet(3, 2).await;
     fleet.instances[2].process.signal("STOP");
-    fleet.wait_status("the paused instance is taken for dead", |all| all.len() == 2).await.unwrap();
+    fleet
+        .wait_status("the paused instance is considered dead", |all| all.len() == 2)
+        .await
+        .unwrap();
     let held = fleet.admin(0).status().await.unwrap();
     assert!(held.iter().all(|s| s.holders == 3), "{held:?}");
     let paused = fleet.instances.remove(2);
     fleet.list_instances(0).await.unwrap();
     fleet
-        .wait_status("the others take over the share", |all| {
+        .wait_status("the other instances take over the share", |all| {
             all.iter().all(|s| s.holders == 2 && s.is_share_agreed)
         })
         .await
         .unwrap();
     paused.process.signal("CONT");
     fleet
-        .wait_status("it is back and shares are split again", |all| {
+        .wait_status("the instance has rejoined and shares are divided again", |all| {
             all.len() == 3 && all.iter().all(|s| s.holders == 3 && s.is_share_agreed)
         })
         .await
@@ -164,9 +165,8 @@
     assert!(peak <= 25 + TEST_CONNECTIONS, "{peak} connections at one replica");
 }
 
-/// Symptom: an instance that is replaced during an outage of the platform stays away.
-/// Sequence: the platform is down; an instance starts; queries come.
-/// Cause: everything that it needs, but for claims and edits, its peers know.
+/// Guards against an instance that can't restart during an outage of the platform. Its peers
+/// provide everything that it needs except claims and edits.
 #[actix_web::test]
 async fn an_instance_starts_and_serves_during_an_outage() {
     let mut fleet = common::fleet(3, 2).await;
@@ -179,11 +179,10 @@
     assert_eq!(report.full, report.offered, "{report}");
 }
 
-/// Symptom: an instance that was paused answers without a single shard for ever after.
-/// Sequence: it is paused for longer than its shares stay valid, gives them up when it
-/// wakes, and meanwhile nothing else has changed among the members.
-/// Cause: shares agreed on anew only when a member's record changes. (Seen by reading;
-/// over processes the pause itself mostly changes a record.)
+/// Guards against an instance that covers no shard after a pause: it is paused for longer than
+/// its shares are valid and drops them when it resumes, while no member record has changed. The
+/// fault was that shares were only agreed on again after a change to a member record. It was
+/// found by reading the code; between real processes the pause itself usually changes a record.
 #[actix_web::test]
 async fn a_paused_instance_that_stays_listed_serves_again() {
     let fleet = common::fleet(2, 2).await;
@@ -191,12 +190,12 @@
     tokio::time::sleep(Duration::from_secs(6)).await;
     fleet.instances[1].process.signal("CONT");
     let admin = fleet.admin(1);
-    until("it has noticed its pause", async || {
+    until("the instance has detected its pause", async || {
         admin.timeline("instance-1", 0).await.unwrap().iter().any(|e| e.number == 105)
     })
     .await
     .unwrap();
-    until("it answers from every shard again", async || {
+    until("the instance covers all shards again", async || {
         let headers = &[("deadline-ms", "2000")];
         let reply = common::query(&fleet, 1, common::SERVICE, headers, vec![]).await;
         reply.status == 200 && reply.answer().missed.is_empty()
--- a/crates/standin/tests/restored.rs
+++ b/crates/standin/tests/restored.rs
@@ -1,4 +1,4 @@
-//! A platform that comes back from a copy some seconds old.
+//! Platform that is restored from a backup that is some seconds old.
 
 mod common;
 
@@ -11,7 +11,7 @@
     Submitted { edit_id, base, submitter: "test".to_owned(), text: text.to_owned() }
 }
 
-/// The text of a fleet with one deadline that tells it from others.
+/// Returns the text of the cluster with a deadline that distinguishes it from other texts.
 fn text_with(fleet: &Fleet, deadline_ms: u64) -> String {
     fleet.text().replacen(']', &format!("]\ndeadline_ms = {deadline_ms}"), 1)
 }
@@ -32,7 +32,8 @@
     }
 }
 
-/// A key that was run: some time after a restore keys are claimed again.
+/// Returns the key of a completed run; retries because claims are refused for a time after a
+/// restore.
 async fn run_once(fleet: &Fleet) -> String {
     let ran = std::cell::RefCell::default();
     until("a run is answered", async || {
@@ -45,7 +46,7 @@
     ran.into_inner()
 }
 
-/// Guards against a second run of a request whose claim the copy lacks.
+/// Guards against a second run of a request whose claim is missing from the backup.
 #[actix_web::test]
 async fn a_run_whose_claim_is_lost_does_not_run_again() {
     let fleet = common::fleet(2, 2).await;
@@ -62,7 +63,8 @@
     }
 }
 
-/// Guards against a second run where no instance remembers the claim that the copy lacks.
+/// Guards against a second run of a request whose claim is missing from the backup, after all
+/// instances that had it in memory have restarted.
 #[actix_web::test]
 async fn a_run_whose_claim_nobody_remembers_does_not_run_again() {
     let mut fleet = common::fleet(2, 2).await;
@@ -80,30 +82,36 @@
     assert_eq!(common::runs(&fleet, &key).await, 1);
 }
 
-/// Guards against an accepted text that is gone, or goes back, since the copy lacks it.
+/// Guards against the loss of an accepted text that is missing from the backup.
 #[actix_web::test]
 async fn a_text_that_the_copy_lacks_stays_in_force_and_is_written_again() {
     let mut fleet = common::fleet(3, 2).await;
     fleet.tell_platform("copy").await.unwrap();
     let newer = text_with(&fleet, 7_001);
     accepted(&fleet, 0, &edit(1, 11, &newer)).await;
-    until("the text is in force", async || has_everywhere(&fleet, &newer).await).await.unwrap();
+    until("the text is active on all instances", async || has_everywhere(&fleet, &newer).await)
+        .await
+        .unwrap();
     fleet.tell_platform("restore").await.unwrap();
-    // One that starts meanwhile must not be ready with the older text.
+    // An instance that starts now must not become ready with the text from the backup.
     fleet.restart_instance(2).unwrap();
     let url = fleet.instances[2].url();
     let admin = fleet.admin(2);
     until("the restarted instance is ready", async || {
         let is_ready = common::get(&format!("{url}/readyz")).await == Ok(200);
         if is_ready {
-            assert_eq!(admin.text().await.unwrap().text, newer, "ready with an old text");
+            assert_eq!(
+                admin.text().await.unwrap().text,
+                newer,
+                "instance is ready with an outdated text"
+            );
         }
         is_ready
     })
     .await
     .unwrap();
-    // It is in the platform again: a fleet that knows nothing of before gets it.
-    until("the text is written again", async || {
+    // The instances write the text to the platform again, under a new high version.
+    until("the text is written to the platform again", async || {
         let shown = fleet.admin(0).text().await.unwrap();
         assert_eq!(shown.text, newer);
         shown.version > 1 << 40
@@ -113,19 +121,24 @@
     let next = text_with(&fleet, 7_002);
     let base = fleet.admin(0).text().await.unwrap().version;
     accepted(&fleet, 1, &edit(base, 12, &next)).await;
-    until("a later text is in force", async || has_everywhere(&fleet, &next).await).await.unwrap();
+    until("the next text is active on all instances", async || has_everywhere(&fleet, &next).await)
+        .await
+        .unwrap();
 }
 
-/// Guards against an edit that overwrites another, since its base's number was given out again.
+/// Guards against an edit that overwrites another because the version number it is based on was
+/// assigned a second time after a restore.
 #[actix_web::test]
 async fn an_edit_from_a_version_of_before_a_restore_overwrites_nothing() {
     let fleet = common::fleet(2, 2).await;
     fleet.tell_platform("copy").await.unwrap();
     let lost = text_with(&fleet, 7_001);
     let base = accepted(&fleet, 0, &edit(1, 21, &lost)).await;
-    until("the text is in force", async || has_everywhere(&fleet, &lost).await).await.unwrap();
+    until("the text is active on all instances", async || has_everywhere(&fleet, &lost).await)
+        .await
+        .unwrap();
     fleet.tell_platform("restore").await.unwrap();
-    until("the text is written again", async || {
+    until("the text is written to the platform again", async || {
         fleet.admin(0).text().await.unwrap().version > 1 << 40
     })
     .await
--- a/crates/standin/tests/runs.rs
+++ b/crates/standin/tests/runs.rs
@@ -1,5 +1,5 @@
-//! Requests that must not run twice, under failure. The stand-in backend servers
-//! count the runs of each key over the whole test: never two.
+//! Runs with idempotency keys under faults. The simulated backend servers count the runs of each
+//! key, which must never exceed one.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use eelgrasspier_standin::platform::Faults as PlatformFaults;
 use futures_util::future::join;
 
-/// A deadline that leaves room for lost answers and busy machines.
+/// Deadline of a run that allows for lost answers and busy machines.
 const LONG_MS: u64 = 8_000;
 
 async fn slow_down(fleet: &Fleet, slowness: u64) {
@@ -20,10 +20,8 @@
     }
 }
 
-/// Symptom: a viewer gets two reminders.
-/// Sequence: the caller's first try is answered, the answer is lost on its way, and
-/// the retry reaches another instance.
-/// Cause: without a claim that both instances see, each would send.
+/// Guards against a duplicate run: the answer to the first attempt is lost on its way to the
+/// caller, and the retry reaches another instance. Only a claim visible to both prevents it.
 #[actix_web::test]
 async fn a_retry_on_another_instance_does_not_run_again() {
     let fleet = common::fleet(2, 2).await;
@@ -38,10 +36,9 @@
     assert_eq!(common::runs(&fleet, &key).await, 1);
 }
 
-/// Symptom: a match request is sent twice.
-/// Sequence: the caller's try and its impatient retry reach two instances at the
-/// same moment; both claim the key.
-/// Cause: a check before the write, or a write without the version, lets both in.
+/// Guards against a duplicate run: a request and its retry reach two instances concurrently, and
+/// both claim the key. A check before the write, or a write that is not conditional on the
+/// version, would let both succeed.
 #[actix_web::test]
 async fn of_two_tries_at_the_same_moment_one_runs() {
     let fleet = common::fleet(3, 2).await;
@@ -56,10 +53,9 @@
     }
 }
 
-/// Symptom: a request is refused for good though it never ran, or runs twice.
-/// Sequence: the claim takes effect on the platform, but the answer never comes.
-/// Cause: taken for a failure the key would stay claimed by nobody; taken for
-/// success without reading again it could be somebody else's.
+/// Guards against a request that never runs, or runs twice, after the answer to its claim is
+/// lost. Treated as a failure, the key would stay claimed without an owner; treated as a success
+/// without reading it again, the claim could belong to another instance.
 #[actix_web::test]
 async fn a_claim_whose_answer_is_lost_is_found_by_reading_again() {
     let fleet = common::fleet(2, 2).await;
@@ -75,10 +71,9 @@
     }
 }
 
-/// Symptom: a reminder is never sent, though the caller retried as it was told.
-/// Sequence: the platform loses the claim's answer and then goes down; the request
-/// is refused as not run; the caller comes back after the outage.
-/// Cause: the lost claim is still on the platform and must be given back.
+/// Guards against a request that never runs although the caller retries it: the answer to the
+/// claim is lost, the request is refused as not run, and the caller retries later, after an
+/// outage. The claim is still stored on the platform and has to be released.
 #[actix_web::test]
 async fn a_request_refused_in_an_outage_runs_on_the_retry_after_it() {
     let fleet = common::fleet(2, 2).await;
@@ -97,7 +92,7 @@
     assert_eq!(refused.problem().verdict, "not_run", "{}", refused.text());
 
     fleet.platform_faults(&PlatformFaults::default()).await.unwrap();
-    eelgrasspier_standin::fleet::until("the claim is given back and the retry runs", async || {
+    eelgrasspier_standin::fleet::until("the claim is released and the retry runs", async || {
         let retry = common::run(&fleet, 1, &key, LONG_MS).await;
         retry.is_ok_and(|r| r.status == 200)
     })
@@ -106,10 +101,9 @@
     assert_eq!(common::runs(&fleet, &key).await, 1);
 }
 
-/// Symptom: two runs, the second one long after the first.
-/// Sequence: an instance claims the key and is stopped by the system for longer than
-/// every time-out; the caller's retry reaches another instance; the first wakes up.
-/// Cause: a lease would have lapsed meanwhile, and both would believe they hold it.
+/// Guards against a duplicate run after a pause: an instance claims the key and is paused for
+/// longer than all timeouts, the retry reaches another instance, and the first one resumes. With
+/// a lease, which expires during the pause, both would consider themselves the holder.
 #[actix_web::test]
 async fn a_paused_holder_that_wakes_up_does_not_run_again() {
     let fleet = common::fleet(3, 2).await;
@@ -136,11 +130,9 @@
     }
 }
 
-/// Symptom: a refusal says "not run" though the request ran.
-/// Sequence: the backend server is killed after it took the request; the connection
-/// breaks without an answer.
-/// Cause: the HTTP client names this a connect error; only a failure before any byte
-/// went out may be called not run.
+/// Guards against verdict `not_run` for a request that ran: the backend server is killed after
+/// it received the request, and the connection breaks without an answer. The HTTP client reports
+/// this as a connect error; only a failure before the first byte was sent means not run.
 #[actix_web::test]
 async fn a_run_whose_server_dies_may_have_run() {
     let mut fleet = common::fleet(2, 1).await;
@@ -149,7 +141,7 @@
     let url = format!("{}/v1/services/{}/run", fleet.instances[0].url(), common::SERVICE);
     let headers = [("deadline-ms", "8000"), ("idempotency-key", key.as_str())];
     let kill = async {
-        eelgrasspier_standin::fleet::until("the run has begun", async || {
+        eelgrasspier_standin::fleet::until("the run has started", async || {
             common::runs(&fleet, &key).await == 1
         })
         .await
@@ -164,9 +156,8 @@
     fleet.backends.clear();
 }
 
-/// Symptom: a caller that hangs up stops its own reminder half way.
-/// Sequence: the caller closes its connection between claim and send.
-/// Cause: the key stays claimed, so the request would never run.
+/// Guards against a request that never runs: the caller closes its connection between claim and
+/// send. The key stays claimed, so a run that stopped here could not be retried.
 #[actix_web::test]
 async fn a_caller_that_hangs_up_does_not_stop_a_run() {
     let fleet = common::fleet(2, 2).await;
@@ -175,15 +166,15 @@
     let key = common::key();
     let impatient = common::run(&fleet, 0, &key, LONG_MS);
     let hung_up = tokio::time::timeout(Duration::from_millis(100), impatient).await;
-    assert!(hung_up.is_err(), "the claim was to take longer than the caller waits");
-    eelgrasspier_standin::fleet::until("the run has begun", async || {
+    assert!(hung_up.is_err(), "the claim should take longer than the caller waits");
+    eelgrasspier_standin::fleet::until("the run has started", async || {
         common::runs(&fleet, &key).await == 1
     })
     .await
     .unwrap();
 }
 
-/// Keys that make no sense, or are too old to be told from a retry, are refused.
+/// Invalid keys, and keys too old to be distinguished from a retry, are refused.
 #[actix_web::test]
 async fn bad_keys_are_refused() {
     let fleet = common::fleet(1, 1).await;
@@ -201,7 +192,7 @@
     }
 }
 
-/// A shard that is not there is refused as the caller's mistake, and claims no key.
+/// A run on a shard that does not exist is refused as a bad request and does not claim the key.
 #[actix_web::test]
 async fn a_run_on_an_unknown_shard_is_refused() {
     let fleet = common::fleet(1, 2).await;
@@ -216,8 +207,8 @@
     assert_eq!(answer.status, 200, "{}", answer.text());
 }
 
-/// A server that sheds did not run the request: the refusal says so, and the same
-/// key may run later.
+/// A run that a server sheds is refused with verdict `not_run`, and runs are accepted again once
+/// the server stops shedding.
 #[actix_web::test]
 async fn a_shed_run_may_be_tried_again() {
     let fleet = common::fleet(1, 1).await;
--- a/crates/standin/tests/slices.rs
+++ b/crates/standin/tests/slices.rs
@@ -1,18 +1,18 @@
-//! Fewer connections than instances: each holds a slice of the replicas.
+//! Fewer connections per replica than instances: each instance connects to a subset (slice).
 
 mod common;
 
 use eelgrasspier_standin::fleet::Fleet;
 use eelgrasspier_standin::load;
 
-/// Symptom: an instance without a connection to a shard misses it for ever.
-/// Sequence: seven instances, three connections a replica, so that no instance holds
-/// one to every shard; queries come to all of them.
-/// Cause: the other shards have to be asked through instances that do.
+/// Guards against shards that are permanently missing from answers: with seven instances and
+/// three connections per replica, no instance is connected to every shard. It has to request the
+/// other shards from instances that are.
 ///
-/// On a busy machine one answer in 120 lacked shards ("no replica holds the index version"): an
-/// instance was asked for parts from a replica whose first report it had not heard, or nobody was
-/// asked, since the news that the holders are ready was on its way.
+/// Also guards against a race after startup. On a busy machine one answer in 120 lacked shards
+/// ("no replica holds the index version"): an instance was asked for parts of a replica whose
+/// first report it had not received, or no instance was asked because the state of the connected
+/// ones had not arrived yet.
 #[actix_web::test]
 async fn queries_reach_the_shards_in_other_slices() {
     let mut plan = common::plan(7, 8);
@@ -25,14 +25,13 @@
     assert_eq!(report.full, report.offered, "{report}");
     let counters = fleet.counters(common::SERVICE).await.unwrap();
     let peak = counters.iter().map(|c| c.peak_connections).max().unwrap();
-    // The test's own question is one more.
+    // The test itself holds one more connection to read the counters.
     assert!(peak <= 3 + 1, "{peak} connections at one replica");
 }
 
-/// Symptom: one instance of several refuses every query for want of a snapshot.
-/// Sequence: one replica that allows one connection, three instances: two of them have
-/// nothing of the service in their slice.
-/// Cause: versions are learnt from replicas' own answers, and those two get none.
+/// Guards against an instance that refuses every query because it knows no snapshot: with one
+/// replica that allows one connection, two of three instances have no connection to the service.
+/// Index versions are learned from answers of replicas, which these two never receive.
 #[actix_web::test]
 async fn an_instance_with_an_empty_slice_asks_another_for_the_snapshot() {
     let mut plan = common::plan(3, 1);
--- a/crates/standin/tests/snapshots.rs
+++ b/crates/standin/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! One snapshot and true coverage while versions roll, vanish and shards are split.
+//! Answers keep to one snapshot and report accurate coverage during version and shard changes.
 
 mod common;
 
@@ -11,10 +11,8 @@
     Faults { versions: versions.to_vec(), ..Faults::default() }
 }
 
-/// Symptom: an evening grid shows a programme twice, or one that was moved away.
-/// Sequence: a new index version reaches the replicas one by one, and the old one is
-/// dropped, while queries run.
-/// Cause: parts of two versions in one answer.
+/// Guards against answers with parts of two index versions, which show entries twice or at their
+/// old place: replicas load a new version one by one and drop the old one while queries run.
 #[actix_web::test]
 async fn no_answer_mixes_versions_while_they_roll() {
     let fleet = common::fleet(3, 4).await;
@@ -40,17 +38,16 @@
     assert!(report.full * 10 > report.offered * 9, "{report}");
 }
 
-/// Symptom: after a split the new shard's listings are missing, or counted twice.
-/// Sequence: the index goes from three shards to four with a new version, while
-/// queries run; the text lists the replicas of the fourth in advance.
-/// Cause: the number of shards belongs to the version, not to the text.
+/// Guards against entries that are missing or duplicated after a shard split: a new index version
+/// has four shards instead of three, and the text lists the replicas of the fourth in advance.
+/// The number of shards is a property of the version, not of the text.
 #[actix_web::test]
 async fn a_split_of_shards_is_seen_as_a_whole_or_not_at_all() {
     let fleet = common::fleet(2, 4).await;
     let shards = fleet.backends[common::SERVICE].shards.clone();
     let old: Vec<String> = shards[..3].iter().flatten().map(|e| addr_of(e)).collect();
     let new: Vec<String> = shards[3].iter().map(|e| addr_of(e)).collect();
-    // Version 2 has three shards; the fourth's servers hold nothing of it.
+    // Version 2 has three shards; the servers of the fourth shard don't hold it.
     for addr in &old {
         fleet.backend_faults(addr, &holding(&[(2, 3)])).await.unwrap();
     }
@@ -73,10 +70,9 @@
     assert_eq!(last.covered, [0, 1, 2, 3]);
 }
 
-/// Symptom: coverage claims a shard that nobody asked.
-/// Sequence: every replica of one shard is gone; the caller then states the least
-/// coverage that it accepts, and asks for chosen shards only.
-/// Cause: coverage counted from what was asked instead of what came.
+/// Guards against coverage that includes a shard without an answer, as when it is counted from
+/// the requests sent: all replicas of one shard refuse, and the caller then sets a minimum
+/// coverage, with and without a selection of shards.
 #[actix_web::test]
 async fn a_missing_shard_is_named_and_the_least_coverage_is_kept() {
     let fleet = common::fleet(1, 4).await;
@@ -99,13 +95,13 @@
     assert_eq!(answer.answer().covered, [0, 1, 3]);
 }
 
-/// A caller may pin a version, as a backend server does for what it depends on.
+/// Callers can pin an index version, as a backend server does for the services it depends on.
 #[actix_web::test]
 async fn a_pinned_version_is_kept_or_refused() {
     let fleet = common::fleet(1, 2).await;
     common::all_faults(&fleet, &holding(&[(1, 2), (2, 2)])).await;
     let deadline = ("deadline-ms", "1000");
-    eelgrasspier_standin::fleet::until("version 2 is known", async || {
+    eelgrasspier_standin::fleet::until("the instance knows version 2", async || {
         let answer = common::query(&fleet, 0, common::SERVICE, &[deadline], vec![]).await;
         answer.answer().index_version == 2
     })
--- a/crates/standin/tests/whole_path.rs
+++ b/crates/standin/tests/whole_path.rs
@@ -1,14 +1,14 @@
-//! The whole path: callers, instances, backend servers and platform as processes.
+//! End-to-end tests with instances, backend servers and platform as separate processes.
 
 mod common;
 
 use eelgrasspier_standin::load;
 
-/// Names and values of a request's headers.
+/// Names and values of request headers.
 type Headers = &'static [(&'static str, &'static str)];
 
-/// Queries through several instances come back whole, from one snapshot, with true
-/// coverage; the load driver checks every answer.
+/// Answers from several instances are complete, from one snapshot and with accurate coverage;
+/// the load generator checks every answer.
 #[actix_web::test]
 async fn queries_are_answered_from_every_shard() {
     let fleet = common::fleet(3, 4).await;
@@ -18,7 +18,7 @@
     assert!(report.full > 0, "{report}");
 }
 
-/// Every metric that docs/METRICS.md lists for a calm instance is there.
+/// An instance without faults exports every metric that docs/METRICS.md lists for it.
 #[actix_web::test]
 async fn the_metrics_are_as_listed() {
     let fleet = common::fleet(1, 2).await;
@@ -37,7 +37,7 @@
         "eelgrasspier_text_version 1",
         "eelgrasspier_control_cpu_seconds",
     ];
-    eelgrasspier_standin::fleet::until("every metric is shown", async || {
+    eelgrasspier_standin::fleet::until("every metric is exported", async || {
         let text = fleet.metrics(0).await.unwrap();
         listed.iter().all(|name| text.contains(name))
     })
@@ -45,8 +45,8 @@
     .unwrap();
 }
 
-/// Bad input gets a clear refusal that names what is wrong, and no backend server
-/// sees any of it.
+/// Invalid requests are refused with a message that names the error, and don't reach any backend
+/// server.
 #[actix_web::test]
 async fn bad_input_is_refused_before_any_backend_server_is_touched() {
     let fleet = common::fleet(1, 2).await;
