--- a/crates/standin/src/backends.rs
+++ b/crates/standin/src/backends.rs
@@ -20,13 +20,13 @@
 use tokio::sync::{Notify, Semaphore};
 
 /// Requests running or waiting for a slot above which a replica sheds new ones.
-const MAX_QUEUE: u64 = 40;
+const MAX_PENDING_REQUESTS: u64 = 40;
 /// Time for which a silent connection delays each request.
-const SILENCE: Duration = Duration::from_mins(1);
+const SILENT_DELAY: Duration = Duration::from_mins(1);
 
 /// Options for the backend servers of one service.
 #[derive(Debug, Clone, Bpaf)]
-pub struct Shape {
+pub struct BackendOptions {
     /// Name of the service
     #[bpaf(long, argument("NAME"))]
     pub service: String,
@@ -59,7 +59,7 @@
 /// Faults injected into a replica.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
-#[expect(clippy::struct_excessive_bools, reason = "each fault is on or off by itself")]
+#[expect(clippy::struct_excessive_bools, reason = "each flag enables an independent fault")]
 pub struct Faults {
     /// Announces that the replica is draining, while it still serves requests.
     pub is_draining: bool,
@@ -98,17 +98,17 @@
 
 #[derive(Debug)]
 struct Replica {
-    shape: Shape,
+    options: BackendOptions,
     shard: u32,
     started_ms: u64,
     slots: Semaphore,
     load: AtomicU64,
-    open: AtomicU64,
+    open_connections: AtomicU64,
     faults: Mutex<Faults>,
     counters: Mutex<Counters>,
-    working: Mutex<HashMap<String, Arc<Notify>>>,
+    in_progress: Mutex<HashMap<String, Arc<Notify>>>,
     /// Number of the last connection that does not answer; 0 for none.
-    silent_up_to: AtomicU64,
+    last_silent_connection: AtomicU64,
 }
 
 type Replicas = Arc<HashMap<u16, Arc<Replica>>>;
@@ -126,7 +126,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.replica.open.fetch_sub(1, Ordering::AcqRel);
+        self.replica.open_connections.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
@@ -134,22 +134,22 @@
 ///
 /// # Errors
 /// Fails if a port can't be bound.
-pub async fn serve(shape: Shape) -> std::io::Result<()> {
-    let zones: Vec<String> = shape.zones.split(',').map(str::to_owned).collect();
+pub async fn serve(options: BackendOptions) -> std::io::Result<()> {
+    let zones: Vec<String> = options.zones.split(',').map(str::to_owned).collect();
     let mut replicas = HashMap::new();
     let mut listeners = Vec::new();
-    let mut text = Vec::new();
-    for shard in 0..shape.shards {
+    let mut addrs_by_shard = Vec::new();
+    for shard in 0..options.shards {
         let mut entries = Vec::new();
-        for number in 0..shape.replicas {
+        for number in 0..options.replicas {
             let listener = TcpListener::bind("127.0.0.1:0")?;
             let addr = listener.local_addr()?;
             let zone = &zones[(shard + number) as usize % zones.len()];
             entries.push(format!("{zone}@{addr}"));
-            replicas.insert(addr.port(), Arc::new(Replica::new(shape.clone(), shard)));
+            replicas.insert(addr.port(), Arc::new(Replica::new(options.clone(), shard)));
             listeners.push(listener);
         }
-        text.push(entries);
+        addrs_by_shard.push(entries);
     }
     let replicas: Replicas = Arc::new(replicas);
     let by_port = Arc::clone(&replicas);
@@ -164,20 +164,20 @@
             .route("/standin/counters", web::get().to(handlers::get_counters))
     })
     .workers(2)
-    .on_connect(move |io, data| accept(&by_port, io, data));
+    .on_connect(move |io, data| on_connect(&by_port, io, data));
     for listener in listeners {
         server = server.listen(listener)?;
     }
-    println!("{}", serde_json::json!({ "service": shape.service, "shards": text }));
+    println!("{}", serde_json::json!({ "service": options.service, "shards": addrs_by_shard }));
     server.run().await
 }
 
-fn accept(replicas: &Replicas, io: &dyn std::any::Any, data: &mut Extensions) {
+fn on_connect(replicas: &Replicas, io: &dyn std::any::Any, data: &mut Extensions) {
     let port = io.downcast_ref::<TcpStream>().and_then(|s| s.local_addr().ok()).map(|a| a.port());
     let Some(replica) = port.and_then(|port| replicas.get(&port)) else { return };
-    let open = replica.open.fetch_add(1, Ordering::AcqRel) + 1;
+    let open_connections = replica.open_connections.fetch_add(1, Ordering::AcqRel) + 1;
     let mut counters = lock(&replica.counters);
-    counters.peak_connections = counters.peak_connections.max(open);
+    counters.peak_connections = counters.peak_connections.max(open_connections);
     counters.opened += 1;
     data.insert(Connection {
         replica: Arc::clone(replica),
@@ -187,25 +187,25 @@
 }
 
 impl Replica {
-    fn new(shape: Shape, shard: u32) -> Self {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let versions = vec![(1, shape.shards)];
+    fn new(options: BackendOptions, shard: u32) -> Self {
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let versions = vec![(1, options.shards)];
         Self {
             shard,
-            started_ms: u64::try_from(since.as_millis()).unwrap_or(1),
-            slots: Semaphore::new(shape.slots as usize),
+            started_ms: u64::try_from(since_epoch.as_millis()).unwrap_or(1),
+            slots: Semaphore::new(options.slots as usize),
             load: AtomicU64::new(0),
-            open: AtomicU64::new(0),
+            open_connections: AtomicU64::new(0),
             faults: Mutex::new(Faults { versions, slowness: 1, ..Faults::default() }),
             counters: Mutex::default(),
-            working: Mutex::default(),
-            silent_up_to: AtomicU64::new(0),
-            shape,
+            in_progress: Mutex::default(),
+            last_silent_connection: AtomicU64::new(0),
+            options,
         }
     }
 
     /// Starts a response with the headers in which a server reports its state.
-    fn respond(&self, status: u16) -> HttpResponseBuilder {
+    fn response_builder(&self, status: u16) -> HttpResponseBuilder {
         let faults = lock(&self.faults);
         let versions: Vec<String> =
             faults.versions.iter().map(|(v, count)| format!("{v}/{count}")).collect();
@@ -222,14 +222,14 @@
         response
     }
 
-    fn work_time(&self) -> Duration {
+    fn sample_service_time(&self) -> Duration {
         const STRAGGLER_FACTOR: u64 = 10;
-        let mean_us = self.shape.work_us;
+        let mean_us = self.options.work_us;
         // Half of the mean is fixed, the other half exponentially distributed.
         let uniform: f64 = rand::random_range(f64::EPSILON..1.0);
         let random = Duration::from_micros(mean_us / 2).mul_f64(-uniform.ln());
         let mut work = Duration::from_micros(mean_us / 2) + random;
-        if rand::random_range(0..1000) < self.shape.stragglers_per_mille {
+        if rand::random_range(0..1000) < self.options.stragglers_per_mille {
             work *= u32::try_from(STRAGGLER_FACTOR).unwrap_or(1);
         }
         work * u32::try_from(lock(&self.faults).slowness.max(1)).unwrap_or(1)
@@ -237,12 +237,12 @@
 
     /// Waits for a slot and simulates the work; returns false if cancelled or out of time.
     async fn work(&self, time_left: Duration, cancelled: &Notify) -> bool {
-        let working = async {
+        let work = async {
             let Ok(_slot) = self.slots.acquire().await else { return };
-            tokio::time::sleep(self.work_time()).await;
+            tokio::time::sleep(self.sample_service_time()).await;
         };
         tokio::select! {
-            () = working => true,
+            () = work => true,
             () = cancelled.notified() => false,
             () = tokio::time::sleep(time_left) => false,
         }
@@ -250,16 +250,16 @@
 }
 
 /// Guard that counts a request towards the load of a replica until it is dropped.
-struct Loaded<'a>(&'a Replica);
+struct LoadGuard<'a>(&'a Replica);
 
-impl<'a> Loaded<'a> {
+impl<'a> LoadGuard<'a> {
     fn new(replica: &'a Replica) -> Self {
         replica.load.fetch_add(1, Ordering::AcqRel);
         Self(replica)
     }
 }
 
-impl Drop for Loaded<'_> {
+impl Drop for LoadGuard<'_> {
     fn drop(&mut self) {
         self.0.load.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/cluster.rs
@@ -10,35 +10,35 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::backends::{Counters, Faults as BackendFaults, Shape};
-use crate::platform::{Faults as PlatformFaults, Listed};
+use crate::backends::{BackendOptions, Counters, Faults as BackendFaults};
+use crate::platform::{Faults as PlatformFaults, ListedInstance};
 use crate::process::Process;
 
 /// Interval at which a condition is polled.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Polls before a wait fails: at least one minute in total, so that loaded machines don't time out.
-const MOST_LOOKS: usize = 1_200;
+const MAX_POLLS: usize = 1_200;
 /// Administration token that every instance is configured with.
-pub const TOKEN: &str = "standin-token";
+pub const ADMIN_TOKEN: &str = "standin-token";
 
 /// Specification of a test cluster.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct ClusterSpec {
     /// Number of instances.
     pub instances: usize,
     /// Availability zones, assigned to instances in rotation.
     pub zones: Vec<String>,
     /// Services and their backend servers.
-    pub services: Vec<ServicePlan>,
+    pub services: Vec<ServiceSpec>,
     /// Additional lines for the settings file of each instance, after its `[instance]` keys.
     pub settings: String,
 }
 
 /// Specification of one service.
 #[derive(Debug, Clone)]
-pub struct ServicePlan {
+pub struct ServiceSpec {
     /// Options for its backend servers.
-    pub shape: Shape,
+    pub backends: BackendOptions,
     /// Additional lines for the section of the service in the operators' text.
     pub text: String,
 }
@@ -57,37 +57,37 @@
     ///
     /// # Errors
     /// Fails if the process can't be started or prints no replica addresses.
-    pub fn start(shape: &Shape) -> Result<Self, String> {
+    pub fn start(options: &BackendOptions) -> Result<Self, String> {
         let args: Vec<String> = [
-            ("--service", shape.service.clone()),
-            ("--shards", shape.shards.to_string()),
-            ("--replicas", shape.replicas.to_string()),
-            ("--slots", shape.slots.to_string()),
-            ("--connections", shape.connections.to_string()),
-            ("--connect-ms", shape.connect_ms.to_string()),
-            ("--work-us", shape.work_us.to_string()),
-            ("--stragglers-per-mille", shape.stragglers_per_mille.to_string()),
-            ("--zones", shape.zones.clone()),
+            ("--service", options.service.clone()),
+            ("--shards", options.shards.to_string()),
+            ("--replicas", options.replicas.to_string()),
+            ("--slots", options.slots.to_string()),
+            ("--connections", options.connections.to_string()),
+            ("--connect-ms", options.connect_ms.to_string()),
+            ("--work-us", options.work_us.to_string()),
+            ("--stragglers-per-mille", options.stragglers_per_mille.to_string()),
+            ("--zones", options.zones.clone()),
         ]
         .into_iter()
         .flat_map(|(name, value)| [name.to_owned(), value])
         .collect();
         let all = [&["backends".to_owned()], args.as_slice()].concat();
         let process = Process::start("eelgrasspier-standin", &all)?;
-        let shards = serde_json::from_value(process.said["shards"].clone());
+        let shards = serde_json::from_value(process.startup_info["shards"].clone());
         Ok(Self { process, shards: shards.map_err(|e| e.to_string())? })
     }
 
     /// Returns the addresses of all replicas, ordered by shard.
     #[must_use]
     pub fn addrs(&self) -> Vec<String> {
-        self.shards.iter().flatten().map(|entry| addr_of(entry)).collect()
+        self.shards.iter().flatten().map(|entry| entry_addr(entry)).collect()
     }
 }
 
 /// Returns the address part of a `zone@address` entry.
 #[must_use]
-pub fn addr_of(entry: &str) -> String {
+pub fn entry_addr(entry: &str) -> String {
     entry.split('@').next_back().unwrap_or_default().to_owned()
 }
 
@@ -106,58 +106,58 @@
     /// Returns the base URL for callers and operators.
     #[must_use]
     pub fn url(&self) -> String {
-        format!("http://{}", self.process.field("http"))
+        format!("http://{}", self.process.startup_field("http"))
     }
 }
 
 /// Running test cluster; dropping it kills all processes and deletes the settings files.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct TestCluster {
     /// Platform process.
     pub platform: Process,
     /// Backend servers by service name.
     pub backends: BTreeMap<String, Backends>,
     /// Running instances.
     pub instances: Vec<Instance>,
-    plan: Plan,
-    folder: PathBuf,
-    started: usize,
+    spec: ClusterSpec,
+    dir: PathBuf,
+    started_count: usize,
 }
 
-impl Fleet {
+impl TestCluster {
     /// Starts all processes, submits the operators' text and waits until all instances are ready.
     ///
     /// # Errors
     /// Fails if a process can't be started or an instance does not become ready.
-    pub async fn start(plan: Plan) -> Result<Self, String> {
-        let fleet = Self::start_idle(plan)?;
-        fleet.list_instances(0).await?;
-        let text = fleet.text();
-        fleet.submit(0, 1, &text).await?;
-        fleet.wait_ready().await?;
-        Ok(fleet)
+    pub async fn start(spec: ClusterSpec) -> Result<Self, String> {
+        let cluster = Self::start_idle(spec)?;
+        cluster.publish_instances(0).await?;
+        let text = cluster.text();
+        cluster.submit(0, 1, &text).await?;
+        cluster.wait_ready().await?;
+        Ok(cluster)
     }
 
     /// Starts all processes without publishing the instance list or submitting a text.
     ///
     /// # Errors
     /// Fails if a process can't be started.
-    pub fn start_idle(plan: Plan) -> Result<Self, String> {
+    pub fn start_idle(spec: ClusterSpec) -> Result<Self, String> {
         let platform = Process::start("eelgrasspier-standin", &["platform".to_owned()])?;
         let mut backends = BTreeMap::new();
-        for service in &plan.services {
-            backends.insert(service.shape.service.clone(), Backends::start(&service.shape)?);
+        for service in &spec.services {
+            backends.insert(service.backends.service.clone(), Backends::start(&service.backends)?);
         }
         // The process id keeps the name unique while the platform process runs.
-        let folder = std::env::temp_dir().join(format!("eelgrasspier-{}", platform.id()));
-        std::fs::create_dir_all(&folder).map_err(|e| e.to_string())?;
-        let count = plan.instances;
+        let dir = std::env::temp_dir().join(format!("eelgrasspier-{}", platform.id()));
+        std::fs::create_dir_all(&dir).map_err(|e| e.to_string())?;
+        let count = spec.instances;
         let instances = Vec::new();
-        let mut fleet = Self { platform, backends, instances, plan, folder, started: 0 };
+        let mut cluster = Self { platform, backends, instances, spec, dir, started_count: 0 };
         for _ in 0..count {
-            fleet.add_instance()?;
+            cluster.add_instance()?;
         }
-        Ok(fleet)
+        Ok(cluster)
     }
 
     /// Starts another instance and returns its index; the platform does not list it yet.
@@ -165,10 +165,10 @@
     /// # Errors
     /// Fails if the daemon can't be started.
     pub fn add_instance(&mut self) -> Result<usize, String> {
-        let number = self.started;
-        self.started += 1;
+        let number = self.started_count;
+        self.started_count += 1;
         let name = format!("instance-{number}");
-        let zone = self.plan.zones[number % self.plan.zones.len()].clone();
+        let zone = self.spec.zones[number % self.spec.zones.len()].clone();
         let process = self.start_daemon(&name, &zone)?;
         self.instances.push(Instance { name, zone, process });
         Ok(self.instances.len() - 1)
@@ -178,28 +178,29 @@
     ///
     /// # Errors
     /// Fails if the daemon can't be started.
-    pub fn restart_instance(&mut self, at: usize) -> Result<(), String> {
-        self.instances[at].process.kill();
-        let Instance { name, zone, .. } = &self.instances[at];
+    pub fn restart_instance(&mut self, index: usize) -> Result<(), String> {
+        self.instances[index].process.kill();
+        let Instance { name, zone, .. } = &self.instances[index];
         let process = self.start_daemon(name, zone)?;
-        self.instances[at].process = process;
+        self.instances[index].process = process;
         Ok(())
     }
 
     fn start_daemon(&self, name: &str, zone: &str) -> Result<Process, String> {
-        let seeds: Vec<String> = self.instances.iter().map(|i| i.process.field("peer")).collect();
+        let seeds: Vec<String> =
+            self.instances.iter().map(|i| i.process.startup_field("peer")).collect();
         let mut settings = String::new();
-        let platform = self.platform.field("addr");
+        let platform = self.platform.startup_field("addr");
         let written = write!(
             settings,
             "[instance]\nname = {name}\nzone = {zone}\nhttp = 127.0.0.1:0\n\
-             peer = 127.0.0.1:0\nseeds = {}\nadmin_token = {TOKEN}\n{}\n\
+             peer = 127.0.0.1:0\nseeds = {}\nadmin_token = {ADMIN_TOKEN}\n{}\n\
              [platform]\nurl = http://{platform}\n",
             seeds.join(","),
-            self.plan.settings
+            self.spec.settings
         );
         written.map_err(|e| e.to_string())?;
-        let path = self.folder.join(format!("{name}.ini"));
+        let path = self.dir.join(format!("{name}.ini"));
         std::fs::write(&path, settings).map_err(|e| e.to_string())?;
         Process::start("eelgrasspierd", &[path.display().to_string()])
     }
@@ -208,14 +209,14 @@
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
-        for service_plan in &self.plan.services {
-            let shape = &service_plan.shape;
-            let Shape { service, slots, connections, .. } = shape;
+        for service_spec in &self.spec.services {
+            let options = &service_spec.backends;
+            let BackendOptions { service, slots, connections, .. } = options;
             let lines = [
                 format!("[{service}]"),
                 format!("slots = {slots}"),
                 format!("connections = {connections}"),
-                service_plan.text.clone(),
+                service_spec.text.clone(),
             ];
             text += &lines.join("\n");
             let Some(backends) = self.backends.get(service) else { continue };
@@ -230,19 +231,19 @@
     ///
     /// # Errors
     /// Fails if the platform does not accept the request.
-    pub async fn list_instances(&self, lag_ms: u64) -> Result<(), String> {
-        let listed = |i: &Instance| {
+    pub async fn publish_instances(&self, lag_ms: u64) -> Result<(), String> {
+        let entry = |i: &Instance| {
             let (name, zone) = (i.name.clone(), i.zone.clone());
-            Listed { name, zone, peer_addr: i.process.field("peer") }
+            ListedInstance { name, zone, peer_addr: i.process.startup_field("peer") }
         };
-        let list: Vec<Listed> = self.instances.iter().map(listed).collect();
-        put(&self.platform_url(&format!("instances?lag_ms={lag_ms}")), &list).await
+        let list: Vec<ListedInstance> = self.instances.iter().map(entry).collect();
+        put_json(&self.platform_url(&format!("instances?lag_ms={lag_ms}")), &list).await
     }
 
     /// Returns a client for the administration API of one instance.
     #[must_use]
-    pub fn admin(&self, at: usize) -> AdminClient {
-        AdminClient::new(&self.instances[at].url(), Some(TOKEN))
+    pub fn admin(&self, index: usize) -> AdminClient {
+        AdminClient::new(&self.instances[index].url(), Some(ADMIN_TOKEN))
     }
 
     /// Submits a text through the first instance and returns the accepted version.
@@ -265,8 +266,10 @@
     pub async fn wait_ready(&self) -> Result<(), String> {
         for instance in &self.instances {
             let url = format!("{}/readyz", instance.url());
-            until(&format!("{} is ready", instance.name), async || status(&url).await == Some(200))
-                .await?;
+            wait_until(&format!("{} is ready", instance.name), async || {
+                get_status(&url).await == Some(200)
+            })
+            .await?;
         }
         Ok(())
     }
@@ -277,31 +280,31 @@
     /// Fails if the condition does not hold in time.
     pub async fn wait_status(
         &self,
-        what: &str,
-        holds: impl Fn(&[InstanceStatus]) -> bool,
+        condition: &str,
+        predicate: impl Fn(&[InstanceStatus]) -> bool,
     ) -> Result<(), String> {
         let admin = self.admin(0);
-        until(what, async || admin.status().await.is_ok_and(|all| holds(&all))).await
+        wait_until(condition, async || admin.status().await.is_ok_and(|all| predicate(&all))).await
     }
 
     /// Replaces the faults that the platform injects.
     ///
     /// # Errors
     /// Fails if the platform does not accept the request.
-    pub async fn platform_faults(&self, faults: &PlatformFaults) -> Result<(), String> {
-        put(&self.platform_url("faults"), faults).await
+    pub async fn set_platform_faults(&self, faults: &PlatformFaults) -> Result<(), String> {
+        put_json(&self.platform_url("faults"), faults).await
     }
 
     /// Makes the platform back up all objects (`copy`) or restore the backup (`restore`).
     ///
     /// # Errors
     /// Fails if the platform does not accept the request.
-    pub async fn tell_platform(&self, what: &str) -> Result<(), String> {
-        put(&self.platform_url(what), &()).await
+    pub async fn send_platform_command(&self, command: &str) -> Result<(), String> {
+        put_json(&self.platform_url(command), &()).await
     }
 
-    fn platform_url(&self, what: &str) -> String {
-        format!("http://{}/standin/{what}", self.platform.field("addr"))
+    fn platform_url(&self, path: &str) -> String {
+        format!("http://{}/standin/{path}", self.platform.startup_field("addr"))
     }
 
     /// Returns the number of calls that the platform has received, by kind.
@@ -309,15 +312,19 @@
     /// # Errors
     /// Fails if the platform does not answer.
     pub async fn platform_calls(&self) -> Result<BTreeMap<String, u64>, String> {
-        get(&self.platform_url("calls")).await
+        get_json(&self.platform_url("calls")).await
     }
 
     /// Replaces the faults that the replica at an address injects.
     ///
     /// # Errors
     /// Fails if the replica does not accept the request.
-    pub async fn backend_faults(&self, addr: &str, faults: &BackendFaults) -> Result<(), String> {
-        put(&format!("http://{addr}/standin/faults"), faults).await
+    pub async fn set_backend_faults(
+        &self,
+        addr: &str,
+        faults: &BackendFaults,
+    ) -> Result<(), String> {
+        put_json(&format!("http://{addr}/standin/faults"), faults).await
     }
 
     /// Returns the counters of every replica of a service, ordered by shard.
@@ -326,15 +333,15 @@
     /// Fails if a replica does not answer.
     pub async fn counters(&self, service: &str) -> Result<Vec<Counters>, String> {
         let addrs = self.backends.get(service).map(Backends::addrs).unwrap_or_default();
-        counters_of(&addrs).await
+        fetch_counters(&addrs).await
     }
 
     /// Returns the metrics of one instance in Prometheus text format.
     ///
     /// # Errors
     /// Fails if the instance does not answer.
-    pub async fn metrics(&self, at: usize) -> Result<String, String> {
-        let body = get_bytes(&format!("{}/metrics", self.instances[at].url())).await?;
+    pub async fn metrics(&self, index: usize) -> Result<String, String> {
+        let body = get_bytes(&format!("{}/metrics", self.instances[index].url())).await?;
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
 
@@ -345,9 +352,9 @@
     }
 }
 
-impl Drop for Fleet {
+impl Drop for TestCluster {
     fn drop(&mut self) {
-        drop(std::fs::remove_dir_all(&self.folder));
+        drop(std::fs::remove_dir_all(&self.dir));
     }
 }
 
@@ -355,10 +362,10 @@
 ///
 /// # Errors
 /// Fails if a replica does not answer.
-pub async fn counters_of(addrs: &[String]) -> Result<Vec<Counters>, String> {
+pub async fn fetch_counters(addrs: &[String]) -> Result<Vec<Counters>, String> {
     let mut all = Vec::new();
     for addr in addrs {
-        all.push(get(&format!("http://{addr}/standin/counters")).await?);
+        all.push(get_json(&format!("http://{addr}/standin/counters")).await?);
     }
     Ok(all)
 }
@@ -367,27 +374,27 @@
 ///
 /// # Errors
 /// Fails if the condition does not hold in time.
-pub async fn until(what: &str, holds: impl AsyncFn() -> bool) -> Result<(), String> {
-    for _ in 0..MOST_LOOKS {
-        if holds().await {
+pub async fn wait_until(condition: &str, predicate: impl AsyncFn() -> bool) -> Result<(), String> {
+    for _ in 0..MAX_POLLS {
+        if predicate().await {
             return Ok(());
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    Err(format!("timed out waiting until {what}"))
+    Err(format!("timed out waiting until {condition}"))
 }
 
-async fn status(url: &str) -> Option<u16> {
+async fn get_status(url: &str) -> Option<u16> {
     Client::default().get(url).send().await.ok().map(|answer| answer.status().as_u16())
 }
 
-async fn put<T: Serialize>(url: &str, value: &T) -> Result<(), String> {
+async fn put_json<T: Serialize>(url: &str, value: &T) -> Result<(), String> {
     let sent = Client::default().put(url).send_json(value).await;
     let answer = sent.map_err(|e| format!("{url}: {e}"))?;
     if answer.status().is_success() { Ok(()) } else { Err(format!("{url}: {}", answer.status())) }
 }
 
-async fn get<T: DeserializeOwned>(url: &str) -> Result<T, String> {
+async fn get_json<T: DeserializeOwned>(url: &str) -> Result<T, String> {
     serde_json::from_slice(&get_bytes(url).await?).map_err(|e| format!("{url}: {e}"))
 }
 
--- a/crates/standin/src/compare.rs
+++ b/crates/standin/src/compare.rs
@@ -6,8 +6,8 @@
 use futures_util::future::join;
 
 use crate::backends::Faults;
+use crate::cluster::{TestCluster, entry_addr};
 use crate::demo;
-use crate::fleet::{Fleet, addr_of};
 use crate::load;
 
 /// Fault injected after the first third of the load.
@@ -47,7 +47,7 @@
 
 /// Options of the comparison.
 #[derive(Debug, Clone, Bpaf)]
-pub struct Plan {
+pub struct Options {
     /// Number of instances
     #[bpaf(long, argument("N"), fallback(7))]
     pub instances: usize,
@@ -76,22 +76,25 @@
 ///
 /// # Errors
 /// Fails if a cluster can't be started or an answer violates a guarantee.
-pub async fn run(plan: &Plan) -> Result<(), String> {
-    println!("{:?} at {} queries/s, deadline {} ms", plan.scenario, plan.rate, plan.deadline_ms);
+pub async fn run(options: &Options) -> Result<(), String> {
+    println!(
+        "{:?} at {} queries/s, deadline {} ms",
+        options.scenario, options.rate, options.deadline_ms
+    );
     println!("| way | p50 ms | p99 ms | p99.9 ms | in time % | coverage % | extra load % |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    for way in plan.ways.split(',') {
-        println!("{}", row(plan, way).await?);
+    for policy in options.ways.split(',') {
+        println!("{}", measure_policy(options, policy).await?);
     }
     Ok(())
 }
 
-async fn row(plan: &Plan, way: &str) -> Result<String, String> {
+async fn measure_policy(options: &Options, policy: &str) -> Result<String, String> {
     const PERCENT: f64 = 100.0;
     let (choice, per_mille) =
-        way.split_once('/').ok_or("a policy must be given as choice/hedge-per-mille")?;
-    let fleet = Fleet::start(demo::deployment(
-        plan.instances,
+        policy.split_once('/').ok_or("a policy must be given as choice/hedge-per-mille")?;
+    let cluster = TestCluster::start(demo::deployment(
+        options.instances,
         &demo::Variant {
             choice: choice.to_owned(),
             hedge_per_mille: per_mille.parse().map_err(|_| "hedge-per-mille must be a number")?,
@@ -101,9 +104,10 @@
         },
     ))
     .await?;
-    let offered = demo::grid_load(&fleet, plan.rate, plan.seconds, plan.deadline_ms);
-    let (report, broken) = join(load::run(&offered), break_some(&fleet, plan)).await;
-    broken?;
+    let load_options =
+        demo::grid_load_options(&cluster, options.rate, options.seconds, options.deadline_ms);
+    let (report, injected) = join(load::run(&load_options), inject_faults(&cluster, options)).await;
+    injected?;
     let report = report?;
     if !report.violations.is_empty() {
         return Err(format!("answers violate guarantees of the interface: {report}"));
@@ -111,7 +115,7 @@
     let in_time = f64::from(u32::try_from(report.in_time).unwrap_or(u32::MAX)) * PERCENT
         / f64::from(u32::try_from(report.offered.max(1)).unwrap_or(u32::MAX));
     Ok(format!(
-        "| {way} | {:.1} | {:.1} | {:.1} | {in_time:.2} | {:.3} | {:.2} |",
+        "| {policy} | {:.1} | {:.1} | {:.1} | {in_time:.2} | {:.3} | {:.2} |",
         report.p50_ms,
         report.p99_ms,
         report.p999_ms,
@@ -121,26 +125,26 @@
 }
 
 /// Injects the faults of the scenario after a third of the duration.
-async fn break_some(fleet: &Fleet, plan: &Plan) -> Result<(), String> {
-    const ONE_IN: usize = 10;
+async fn inject_faults(cluster: &TestCluster, options: &Options) -> Result<(), String> {
+    const FAULTY_ONE_IN: usize = 10;
     const LOST_ONE_IN: usize = 20;
-    tokio::time::sleep(Duration::from_secs(u64::from(plan.seconds)) / 3).await;
-    let shards = &fleet.backends[demo::GRID].shards;
+    tokio::time::sleep(Duration::from_secs(u64::from(options.seconds)) / 3).await;
+    let shards = &cluster.backends[demo::GRID_SERVICE].shards;
     let all: Vec<&String> = shards.iter().flatten().collect();
     let zone = all[0].split('@').next().unwrap_or_default();
-    let (faults, one_in) = match plan.scenario {
+    let (faults, one_in) = match options.scenario {
         Scenario::Calm => return Ok(()),
-        Scenario::Slow => (Faults { slowness: 8, ..Faults::default() }, ONE_IN),
+        Scenario::Slow => (Faults { slowness: 8, ..Faults::default() }, FAULTY_ONE_IN),
         Scenario::Lying => {
-            (Faults { slowness: 8, said_load: Some(0), ..Faults::default() }, ONE_IN)
+            (Faults { slowness: 8, said_load: Some(0), ..Faults::default() }, FAULTY_ONE_IN)
         }
-        Scenario::Silent => (Faults { silences_open: true, ..Faults::default() }, ONE_IN),
+        Scenario::Silent => (Faults { silences_open: true, ..Faults::default() }, FAULTY_ONE_IN),
         Scenario::Lost => (Faults { is_lost: true, ..Faults::default() }, LOST_ONE_IN),
         Scenario::ZoneLost => (Faults { is_lost: true, ..Faults::default() }, 1),
     };
     for entry in all.iter().step_by(one_in) {
-        if plan.scenario != Scenario::ZoneLost || entry.starts_with(&format!("{zone}@")) {
-            fleet.backend_faults(&addr_of(entry), &faults).await?;
+        if options.scenario != Scenario::ZoneLost || entry.starts_with(&format!("{zone}@")) {
+            cluster.set_backend_faults(&entry_addr(entry), &faults).await?;
         }
     }
     Ok(())
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -3,8 +3,8 @@
 use bpaf::Bpaf;
 use futures_util::future::join;
 
-use crate::backends::Shape;
-use crate::fleet::{Fleet, Plan as FleetPlan, ServicePlan};
+use crate::backends::BackendOptions;
+use crate::cluster::{ClusterSpec, ServiceSpec, TestCluster};
 use crate::load;
 
 /// Number of shards of grid-builder.
@@ -12,7 +12,7 @@
 
 /// Options of the demo.
 #[derive(Debug, Clone, Bpaf)]
-pub struct Plan {
+pub struct Options {
     /// Number of instances
     #[bpaf(long, argument("N"), fallback(7))]
     pub instances: usize,
@@ -53,10 +53,10 @@
 
 /// Returns the services of the tt-north deployment.
 #[must_use]
-pub fn tt_north(variant: &Variant) -> Vec<ServicePlan> {
+pub fn tt_north_services(variant: &Variant) -> Vec<ServiceSpec> {
     let &Variant { stragglers_per_mille, connections, work_us, .. } = variant;
     let zones = "pos-hall,chag-hall,arima-hall,tuna-hall";
-    let shape = |name: &str, shards, replicas, connections, connect_ms| Shape {
+    let backends = |name: &str, shards, replicas, connections, connect_ms| BackendOptions {
         service: name.to_owned(),
         shards,
         replicas,
@@ -67,17 +67,17 @@
         stragglers_per_mille,
         zones: zones.to_owned(),
     };
-    let plan = |shape, text: &str| ServicePlan { shape, text: text.to_owned() };
+    let service = |backends, text: &str| ServiceSpec { backends, text: text.to_owned() };
     vec![
-        plan(shape("grid-builder", 20, 2, connections, 6), "depends_on = detail-page\n"),
-        plan(shape("member-portal", 30, 2, connections, 6), ""),
-        plan(shape("detail-page", 1, 5, 100, 1), "run_connections = 30\n"),
-        plan(shape("ad-reports", 1, 4, 100, 1), ""),
+        service(backends("grid-builder", 20, 2, connections, 6), "depends_on = detail-page\n"),
+        service(backends("member-portal", 30, 2, connections, 6), ""),
+        service(backends("detail-page", 1, 5, 100, 1), "run_connections = 30\n"),
+        service(backends("ad-reports", 1, 4, 100, 1), ""),
     ]
 }
 
 /// Name of the service that is queried.
-pub const GRID: &str = "grid-builder";
+pub const GRID_SERVICE: &str = "grid-builder";
 
 /// Parameters in which compared deployments differ.
 #[derive(Debug, Clone)]
@@ -96,12 +96,12 @@
 
 /// Returns the specification of a tt-north deployment.
 #[must_use]
-pub fn deployment(instances: usize, variant: &Variant) -> FleetPlan {
+pub fn deployment(instances: usize, variant: &Variant) -> ClusterSpec {
     let zones = ["pos-hall", "chag-hall", "arima-hall", "tuna-hall"];
-    FleetPlan {
+    ClusterSpec {
         instances,
         zones: zones.map(str::to_owned).to_vec(),
-        services: tt_north(variant),
+        services: tt_north_services(variant),
         settings: format!(
             "lame_duck_ms = 500\n[policy]\nreplica_choice = {}\nhedge_per_mille = {}",
             variant.choice, variant.hedge_per_mille
@@ -111,11 +111,16 @@
 
 /// Returns load generator options for queries to grid-builder through all instances.
 #[must_use]
-pub fn grid_load(fleet: &Fleet, rate: u32, seconds: u32, deadline_ms: u64) -> load::Plan {
-    let counters = fleet.backends.get(GRID).map(|b| b.addrs().join(","));
-    load::Plan {
-        instances: fleet.urls().join(","),
-        service: GRID.to_owned(),
+pub fn grid_load_options(
+    cluster: &TestCluster,
+    rate: u32,
+    seconds: u32,
+    deadline_ms: u64,
+) -> load::Options {
+    let counters = cluster.backends.get(GRID_SERVICE).map(|b| b.addrs().join(","));
+    load::Options {
+        instances: cluster.urls().join(","),
+        service: GRID_SERVICE.to_owned(),
         rate,
         seconds,
         deadline_ms,
@@ -130,34 +135,36 @@
 ///
 /// # Errors
 /// Fails if the cluster can't be started or an answer violates a guarantee.
-pub async fn run(plan: &Plan) -> Result<(), String> {
+pub async fn run(options: &Options) -> Result<(), String> {
     let variant = Variant {
-        choice: plan.choice.clone(),
-        hedge_per_mille: plan.hedge_per_mille,
-        stragglers_per_mille: plan.stragglers_per_mille,
-        connections: plan.connections,
-        work_us: plan.work_us,
+        choice: options.choice.clone(),
+        hedge_per_mille: options.hedge_per_mille,
+        stragglers_per_mille: options.stragglers_per_mille,
+        connections: options.connections,
+        work_us: options.work_us,
     };
-    let fleet = Fleet::start(deployment(plan.instances, &variant)).await?;
-    let usage_before: Vec<_> = fleet.instances.iter().map(|i| i.process.usage()).collect();
-    let calls_before: u64 = fleet.platform_calls().await?.values().sum();
-    let offered = grid_load(&fleet, plan.rate, plan.seconds, plan.deadline_ms);
-    let offered = load::Plan { json: plan.json, team: plan.team.clone(), ..offered };
-    let flood = load::Plan {
-        rate: plan.flood_rate,
+    let cluster = TestCluster::start(deployment(options.instances, &variant)).await?;
+    let usage_before: Vec<_> = cluster.instances.iter().map(|i| i.process.usage()).collect();
+    let calls_before: u64 = cluster.platform_calls().await?.values().sum();
+    let load_options =
+        grid_load_options(&cluster, options.rate, options.seconds, options.deadline_ms);
+    let load_options =
+        load::Options { json: options.json, team: options.team.clone(), ..load_options };
+    let flood = load::Options {
+        rate: options.flood_rate,
         team: "flood".to_owned(),
         counters: String::new(),
-        ..offered.clone()
+        ..load_options.clone()
     };
-    let (result, flooded) = join(load::run_and_print(&offered), load::run(&flood)).await;
-    if plan.flood_rate > 0 {
-        println!("the other team:\n{}", flooded?);
+    let (result, flood_report) = join(load::run_and_print(&load_options), load::run(&flood)).await;
+    if options.flood_rate > 0 {
+        println!("the other team:\n{}", flood_report?);
     }
-    let calls_after: u64 = fleet.platform_calls().await?.values().sum();
-    print_cost(&fleet, &usage_before, plan);
-    let opened: u64 = fleet.counters(GRID).await?.iter().map(|c| c.opened).sum();
-    println!("connections opened to {GRID}, from the start: {opened}");
-    let metrics = fleet.metrics(0).await?;
+    let calls_after: u64 = cluster.platform_calls().await?.values().sum();
+    print_usage(&cluster, &usage_before, options);
+    let opened: u64 = cluster.counters(GRID_SERVICE).await?.iter().map(|c| c.opened).sum();
+    println!("connections opened to {GRID_SERVICE}, from the start: {opened}");
+    let metrics = cluster.metrics(0).await?;
     let shown = ["eelgrasspier_added_seconds", "eelgrasspier_control_cpu_seconds"];
     let is_shown = |line: &&str| shown.iter().any(|name| line.starts_with(name));
     for line in metrics.lines().filter(is_shown) {
@@ -167,13 +174,13 @@
     result
 }
 
-fn print_cost(fleet: &Fleet, before: &[(u64, u64)], plan: &Plan) {
-    let offered = u64::from(plan.rate) * u64::from(plan.seconds);
-    let after: Vec<_> = fleet.instances.iter().map(|i| i.process.usage()).collect();
-    let spent: u64 = after.iter().zip(before).map(|(a, b)| a.0 - b.0).sum();
-    let used_us = spent * 1000;
-    let (a_query, a_part) = (used_us / offered, used_us / offered / GRID_SHARDS);
-    println!("processor time  {a_query} us a query, {a_part} us a part");
+fn print_usage(cluster: &TestCluster, before: &[(u64, u64)], options: &Options) {
+    let query_count = u64::from(options.rate) * u64::from(options.seconds);
+    let after: Vec<_> = cluster.instances.iter().map(|i| i.process.usage()).collect();
+    let cpu_time_ms: u64 = after.iter().zip(before).map(|(a, b)| a.0 - b.0).sum();
+    let cpu_us = cpu_time_ms * 1000;
+    let (us_per_query, us_per_part) = (cpu_us / query_count, cpu_us / query_count / GRID_SHARDS);
+    println!("processor time  {us_per_query} us a query, {us_per_part} us a part");
     let count = after.len().max(1) as u64;
     let idle: u64 = before.iter().map(|u| u.1).sum::<u64>() / count;
     let busy: u64 = after.iter().map(|u| u.1).sum::<u64>() / count;
--- a/crates/standin/src/gossip_net.rs
+++ b/crates/standin/src/gossip_net.rs
@@ -13,7 +13,7 @@
 /// Virtual time between ticks, and the delay of a datagram, in milliseconds.
 const TICK_MS: u64 = 50;
 /// Number of instances that each instance initially gets from the platform's list.
-const LISTED: usize = 16;
+const SEED_COUNT: usize = 16;
 
 /// Control state of one instance.
 #[derive(Debug)]
@@ -25,9 +25,9 @@
 
 /// Simulated instances and the datagrams in flight between them.
 #[derive(Debug)]
-pub struct Net {
+pub struct GossipNet {
     nodes: Vec<Node>,
-    at: BTreeMap<SocketAddr, usize>,
+    index_by_addr: BTreeMap<SocketAddr, usize>,
     in_flight: Vec<(SocketAddr, Send)>,
     now_ms: u64,
     random: u64,
@@ -35,17 +35,17 @@
     /// Total size of all datagrams sent, in bytes.
     pub sent_bytes: u64,
     /// Number of datagrams sent.
-    pub sent: u64,
+    pub sent_datagrams: u64,
     /// Size of the largest datagram sent, in bytes.
-    pub longest_bytes: u64,
+    pub max_datagram_bytes: u64,
 }
 
-fn addr(number: usize) -> SocketAddr {
+fn instance_addr(number: usize) -> SocketAddr {
     let bits = 0x0a00_0000 + u32::try_from(number).unwrap_or(0) + 1;
     SocketAddr::new(IpAddr::V4(Ipv4Addr::from_bits(bits)), 7000)
 }
 
-impl Net {
+impl GossipNet {
     /// Creates `count` instances that each know a few others from the platform's list.
     #[must_use]
     pub fn new(count: usize, lost_per_mille: u64) -> Self {
@@ -53,20 +53,20 @@
             .map(|n| Listed {
                 name: format!("instance-{n}"),
                 zone: format!("zone-{}", n % 8),
-                peer_addr: addr(n),
+                peer_addr: instance_addr(n),
             })
             .collect();
-        let nodes = (0..count).map(|n| node(&listed, n, count)).collect();
+        let nodes = (0..count).map(|n| new_node(&listed, n, count)).collect();
         Self {
             nodes,
-            at: (0..count).map(|n| (addr(n), n)).collect(),
+            index_by_addr: (0..count).map(|n| (instance_addr(n), n)).collect(),
             in_flight: Vec::new(),
             now_ms: 0,
             random: 0x5eed,
             lost_per_mille,
             sent_bytes: 0,
-            sent: 0,
-            longest_bytes: 0,
+            sent_datagrams: 0,
+            max_datagram_bytes: 0,
         }
     }
 
@@ -80,26 +80,26 @@
     pub fn tick(&mut self) {
         self.now_ms += TICK_MS;
         for (from, send) in std::mem::take(&mut self.in_flight) {
-            if let Some(&to) = self.at.get(&send.to) {
+            if let Some(&to) = self.index_by_addr.get(&send.to) {
                 let sends = self.nodes[to].membership.receive(self.now_ms, from, &send.datagram);
-                self.post(to, sends);
+                self.enqueue(to, sends);
             }
         }
         for number in 0..self.nodes.len() {
             let random = self.next_random();
             let sends = self.nodes[number].membership.tick(self.now_ms, random);
-            self.post(number, sends);
-            self.nodes[number].agree();
+            self.enqueue(number, sends);
+            self.nodes[number].update_agreement();
         }
     }
 
     /// Advances time until `holds` returns true and returns the elapsed milliseconds.
     ///
     /// Returns `None` if this takes longer than `most_ms`.
-    pub fn until(&mut self, most_ms: u64, holds: impl Fn(&Self) -> bool) -> Option<u64> {
+    pub fn run_until(&mut self, max_ms: u64, predicate: impl Fn(&Self) -> bool) -> Option<u64> {
         let start_ms = self.now_ms;
-        while !holds(self) {
-            if self.now_ms >= start_ms + most_ms {
+        while !predicate(self) {
+            if self.now_ms >= start_ms + max_ms {
                 return None;
             }
             self.tick();
@@ -108,13 +108,13 @@
     }
 
     /// Sets the active configuration version of one instance.
-    pub fn put_in_force(&mut self, at: usize, version: u64) {
-        self.nodes[at].membership.update_own(|m| m.config_version = version);
+    pub fn set_config_version(&mut self, index: usize, version: u64) {
+        self.nodes[index].membership.update_own(|m| m.config_version = version);
     }
 
     /// Returns true if every instance knows of this configuration version or a newer one.
     #[must_use]
-    pub fn all_heard_of(&self, version: u64) -> bool {
+    pub fn all_know_version(&self, version: u64) -> bool {
         self.nodes.iter().all(|n| {
             let others = n.membership.others().map(|m| m.config_version);
             others.chain([n.membership.own().config_version]).max() >= Some(version)
@@ -123,37 +123,37 @@
 
     /// Returns true if every instance considers all others alive.
     #[must_use]
-    pub fn is_joined(&self) -> bool {
+    pub fn all_joined(&self) -> bool {
         let count = self.nodes.len();
         self.nodes.iter().all(|n| n.membership.alive_count() == count)
     }
 
     /// Returns true if all instances agree on the division of connections.
     #[must_use]
-    pub fn is_agreed(&self) -> bool {
+    pub fn all_agreed(&self) -> bool {
         let count = self.nodes.len();
         self.nodes.iter().all(|n| n.agreement.is_agreed() && n.agreement.current().len() == count)
     }
 
     /// Removes one instance as in a planned stop.
-    pub fn leave(&mut self, at: usize) {
+    pub fn leave(&mut self, index: usize) {
         let random = self.next_random();
-        self.nodes[at].membership.update_own(|m| m.state = State::Left as i32);
-        let sends = self.nodes[at].membership.farewell(16, 16, random);
-        self.post(at, sends);
-        let node = self.nodes.remove(at);
-        self.at.remove(&addr_of(&node.membership));
+        self.nodes[index].membership.update_own(|m| m.state = State::Left as i32);
+        let sends = self.nodes[index].membership.farewell(16, 16, random);
+        self.enqueue(index, sends);
+        let node = self.nodes.remove(index);
+        self.index_by_addr.remove(&own_addr(&node.membership));
         let nodes = self.nodes.iter().enumerate();
-        self.at = nodes.map(|(n, node)| (addr_of(&node.membership), n)).collect();
+        self.index_by_addr = nodes.map(|(n, node)| (own_addr(&node.membership), n)).collect();
     }
 
-    fn post(&mut self, from: usize, sends: Vec<Send>) {
-        let from = addr_of(&self.nodes[from].membership);
+    fn enqueue(&mut self, from: usize, sends: Vec<Send>) {
+        let from = own_addr(&self.nodes[from].membership);
         for send in sends {
-            let size_bytes = size(&send.datagram);
+            let size_bytes = encoded_bytes(&send.datagram);
             self.sent_bytes += size_bytes;
-            self.sent += 1;
-            self.longest_bytes = self.longest_bytes.max(size_bytes);
+            self.sent_datagrams += 1;
+            self.max_datagram_bytes = self.max_datagram_bytes.max(size_bytes);
             if self.next_random() % 1000 >= self.lost_per_mille {
                 self.in_flight.push((from, send));
             }
@@ -171,7 +171,7 @@
 
 impl Node {
     /// Updates the share agreement after a membership change and announces its digest.
-    fn agree(&mut self) {
+    fn update_agreement(&mut self) {
         if self.seen_epoch == self.membership.epoch() {
             return;
         }
@@ -185,28 +185,28 @@
     }
 }
 
-fn node(listed: &[Listed], number: usize, count: usize) -> Node {
+fn new_node(listed: &[Listed], number: usize, count: usize) -> Node {
     let member = Member {
         name: listed[number].name.clone(),
         incarnation: 1_764_700_000_000,
         revision: 1,
         state: State::Ready as i32,
         zone: listed[number].zone.clone(),
-        peer_addr: addr(number).to_string(),
-        http_addr: addr(number).to_string(),
+        peer_addr: instance_addr(number).to_string(),
+        http_addr: instance_addr(number).to_string(),
         ..Member::default()
     };
     let agreement = Agreement::new(member.key());
     let mut membership = Membership::new(member);
-    let seen = (0..LISTED.min(count)).map(|i| listed[(number + i * 37) % count].clone());
-    membership.set_listed(&seen.collect::<Vec<_>>());
+    let seeds = (0..SEED_COUNT.min(count)).map(|i| listed[(number + i * 37) % count].clone());
+    membership.set_listed(&seeds.collect::<Vec<_>>());
     Node { membership, agreement, seen_epoch: 0 }
 }
 
-fn addr_of(membership: &Membership) -> SocketAddr {
-    membership.own().peer_addr.parse().unwrap_or_else(|_| addr(0))
+fn own_addr(membership: &Membership) -> SocketAddr {
+    membership.own().peer_addr.parse().unwrap_or_else(|_| instance_addr(0))
 }
 
-fn size(datagram: &Datagram) -> u64 {
+fn encoded_bytes(datagram: &Datagram) -> u64 {
     datagram.encoded_len() as u64
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -4,9 +4,9 @@
 //! processes on loopback. The daemon itself does not depend on this crate.
 
 pub mod backends;
+pub mod cluster;
 pub mod compare;
 pub mod demo;
-pub mod fleet;
 pub mod gossip_net;
 pub mod load;
 pub mod platform;
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -17,19 +17,19 @@
     Platform,
     #[bpaf(command)]
     /// Serve simulated backend servers of one service
-    Backends(#[bpaf(external(backends::shape))] backends::Shape),
+    Backends(#[bpaf(external(backends::backend_options))] backends::BackendOptions),
     #[bpaf(command)]
     /// Generate load on instances and report tail latency, coverage and extra load
-    Load(#[bpaf(external(load::plan))] load::Plan),
+    Load(#[bpaf(external(load::options))] load::Options),
     #[bpaf(command)]
     /// Run and measure a test cluster on this machine
-    Demo(#[bpaf(external(demo::plan))] demo::Plan),
+    Demo(#[bpaf(external(demo::options))] demo::Options),
     #[bpaf(command)]
     /// Compare replica choice and hedging policies under a fault
-    Compare(#[bpaf(external(compare::plan))] compare::Plan),
+    Compare(#[bpaf(external(compare::options))] compare::Options),
     #[bpaf(command)]
     /// Measure the scaling figures for docs/CAPACITY.md
-    Slopes(#[bpaf(external(slopes::plan))] slopes::Plan),
+    Slopes(#[bpaf(external(slopes::options))] slopes::Options),
 }
 
 fn main() -> ExitCode {
@@ -37,11 +37,11 @@
     let result = actix_rt::System::new().block_on(async {
         match command {
             Command::Platform => platform::serve().await.map_err(|e| e.to_string()),
-            Command::Backends(shape) => backends::serve(shape).await.map_err(|e| e.to_string()),
-            Command::Load(plan) => load::run_and_print(&plan).await,
-            Command::Demo(plan) => demo::run(&plan).await,
-            Command::Compare(plan) => compare::run(&plan).await,
-            Command::Slopes(plan) => slopes::run(&plan),
+            Command::Backends(options) => backends::serve(options).await.map_err(|e| e.to_string()),
+            Command::Load(options) => load::run_and_print(&options).await,
+            Command::Demo(options) => demo::run(&options).await,
+            Command::Compare(options) => compare::run(&options).await,
+            Command::Slopes(options) => slopes::run(&options),
         }
     });
     match result {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 
 /// Delay of an answer that counts as lost; clients time out well before it.
-const LOST: Duration = Duration::from_secs(20);
+const LOST_ANSWER_DELAY: Duration = Duration::from_secs(20);
 /// Maximum size of an object.
 const MAX_OBJECT_BYTES: usize = 1 << 20;
 
@@ -33,7 +33,7 @@
 
 /// Entry of the instance list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedInstance {
     /// Name of the instance.
     pub name: String,
     /// Availability zone of the instance.
@@ -46,13 +46,13 @@
 struct State {
     objects: BTreeMap<String, Vec<(u64, Bytes)>>,
     /// Backup of `objects` that a restore brings back.
-    copy: BTreeMap<String, Vec<(u64, Bytes)>>,
+    backup: BTreeMap<String, Vec<(u64, Bytes)>>,
     /// Number of restores; sent in the `store-era` header if above 0.
-    era: u64,
+    restore_count: u64,
     faults: Faults,
-    listed: Vec<Listed>,
+    visible_instances: Vec<ListedInstance>,
     /// Next instance list and the time at which it becomes visible.
-    next_list: Option<(Instant, Vec<Listed>)>,
+    pending_instances: Option<(Instant, Vec<ListedInstance>)>,
     calls: BTreeMap<&'static str, u64>,
 }
 
@@ -67,7 +67,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn count(&self, kind: &'static str) -> Faults {
+    fn count_call(&self, kind: &'static str) -> Faults {
         let mut state = self.lock();
         *state.calls.entry(kind).or_default() += 1;
         state.faults.clone()
@@ -77,25 +77,25 @@
     fn read(&self, name: &str) -> Option<(u64, Bytes)> {
         let state = self.lock();
         let versions = state.objects.get(name)?;
-        let last = versions.len().checked_sub(1)?;
-        let shown = if state.faults.is_stale { last.saturating_sub(1) } else { last };
-        versions.get(shown).cloned()
+        let newest = versions.len().checked_sub(1)?;
+        let visible = if state.faults.is_stale { newest.saturating_sub(1) } else { newest };
+        versions.get(visible).cloned()
     }
 
     fn restore(&self) {
         let mut state = self.lock();
-        state.objects = state.copy.clone();
-        state.era += 1;
+        state.objects = state.backup.clone();
+        state.restore_count += 1;
         drop(state);
         self.changed.notify_waiters();
     }
 
     /// Adds the `store-era` header to an answer if the platform has been restored.
-    fn mark(&self, mut answer: HttpResponse) -> HttpResponse {
-        let era = self.lock().era;
-        if era > 0 {
+    fn with_restore_header(&self, mut answer: HttpResponse) -> HttpResponse {
+        let restore_count = self.lock().restore_count;
+        if restore_count > 0 {
             let name = header::HeaderName::from_static("store-era");
-            answer.headers_mut().insert(name, header::HeaderValue::from(era));
+            answer.headers_mut().insert(name, header::HeaderValue::from(restore_count));
         }
         answer
     }
@@ -148,7 +148,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Watch {
+struct WatchQuery {
     watch_after: Option<u64>,
     #[serde(default)]
     wait_ms: u64,
@@ -156,27 +156,29 @@
 
 async fn get_object(
     name: Path<String>,
-    watch: Query<Watch>,
+    watch: Query<WatchQuery>,
     platform: PlatformData,
 ) -> HttpResponse {
     let kind = if watch.watch_after.is_some() { "watch" } else { "read" };
-    let faults = platform.count(kind);
+    let faults = platform.count_call(kind);
     tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
     if faults.is_down {
         return HttpResponse::ServiceUnavailable().finish();
     }
-    let Some(after) = watch.watch_after else {
+    let Some(known_version) = watch.watch_after else {
         let read = platform.read(&name);
-        return platform.mark(read.map_or_else(|| HttpResponse::NotFound().finish(), found));
+        return platform.with_restore_header(
+            read.map_or_else(|| HttpResponse::NotFound().finish(), object_response),
+        );
     };
-    let until = Instant::now() + Duration::from_millis(watch.wait_ms);
+    let deadline = Instant::now() + Duration::from_millis(watch.wait_ms);
     loop {
         let changed = platform.changed.notified();
-        if let Some((version, value)) = platform.read(&name).filter(|(v, _)| *v > after) {
-            return platform.mark(found((version, value)));
+        if let Some((version, value)) = platform.read(&name).filter(|(v, _)| *v > known_version) {
+            return platform.with_restore_header(object_response((version, value)));
         }
-        if tokio::time::timeout_at(until.into(), changed).await.is_err() {
-            return platform.mark(HttpResponse::NotModified().finish());
+        if tokio::time::timeout_at(deadline.into(), changed).await.is_err() {
+            return platform.with_restore_header(HttpResponse::NotModified().finish());
         }
         if platform.lock().faults.is_down {
             return HttpResponse::ServiceUnavailable().finish();
@@ -184,7 +186,7 @@
     }
 }
 
-fn found((version, value): (u64, Bytes)) -> HttpResponse {
+fn object_response((version, value): (u64, Bytes)) -> HttpResponse {
     HttpResponse::Ok().insert_header((header::ETAG, format!("\"{version}\""))).body(value)
 }
 
@@ -194,14 +196,14 @@
     value: Bytes,
     platform: PlatformData,
 ) -> HttpResponse {
-    let faults = platform.count("update");
+    let faults = platform.count_call("update");
     tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
     if faults.is_down {
         return HttpResponse::ServiceUnavailable().finish();
     }
     if faults.dropped_updates > 0 {
         platform.lock().faults.dropped_updates -= 1;
-        tokio::time::sleep(LOST).await;
+        tokio::time::sleep(LOST_ANSWER_DELAY).await;
         return HttpResponse::ServiceUnavailable().finish();
     }
     let expected = request.headers().get(header::IF_MATCH);
@@ -209,10 +211,10 @@
     let updated = platform.update(&name, expected, value);
     if faults.lost_updates > 0 {
         platform.lock().faults.lost_updates -= 1;
-        tokio::time::sleep(LOST).await;
+        tokio::time::sleep(LOST_ANSWER_DELAY).await;
         return HttpResponse::ServiceUnavailable().finish();
     }
-    platform.mark(match updated {
+    platform.with_restore_header(match updated {
         Ok(version) => {
             HttpResponse::Ok().insert_header((header::ETAG, format!("\"{version}\""))).finish()
         }
@@ -222,7 +224,7 @@
 
 async fn put_copy(platform: PlatformData) -> HttpResponse {
     let mut state = platform.lock();
-    state.copy = state.objects.clone();
+    state.backup = state.objects.clone();
     HttpResponse::NoContent().finish()
 }
 
@@ -232,17 +234,19 @@
 }
 
 async fn get_instances(platform: PlatformData) -> HttpResponse {
-    let faults = platform.count("instances");
+    let faults = platform.count_call("instances");
     if faults.is_down {
         return HttpResponse::ServiceUnavailable().finish();
     }
     let mut state = platform.lock();
-    if let Some((_, list)) = state.next_list.take_if(|(due, _)| Instant::now() >= *due) {
-        state.listed = list;
+    if let Some((_, list)) =
+        state.pending_instances.take_if(|(visible_at, _)| Instant::now() >= *visible_at)
+    {
+        state.visible_instances = list;
     }
-    let answer = HttpResponse::Ok().json(&state.listed);
+    let answer = HttpResponse::Ok().json(&state.visible_instances);
     drop(state);
-    platform.mark(answer)
+    platform.with_restore_header(answer)
 }
 
 async fn put_faults(faults: Json<Faults>, platform: PlatformData) -> HttpResponse {
@@ -252,18 +256,18 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Lag {
+struct LagQuery {
     #[serde(default)]
     lag_ms: u64,
 }
 
 async fn put_instances(
-    lag: Query<Lag>,
-    list: Json<Vec<Listed>>,
+    lag: Query<LagQuery>,
+    list: Json<Vec<ListedInstance>>,
     platform: PlatformData,
 ) -> HttpResponse {
-    let due = Instant::now() + Duration::from_millis(lag.lag_ms);
-    platform.lock().next_list = Some((due, list.into_inner()));
+    let visible_at = Instant::now() + Duration::from_millis(lag.lag_ms);
+    platform.lock().pending_instances = Some((visible_at, list.into_inner()));
     HttpResponse::NoContent().finish()
 }
 
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -11,7 +11,7 @@
 pub struct Process {
     child: Child,
     /// JSON object that the process printed at startup.
-    pub said: Value,
+    pub startup_info: Value,
 }
 
 impl Process {
@@ -20,7 +20,7 @@
     /// # Errors
     /// Fails if the program can't be started or does not print JSON.
     pub fn start(program: &str, args: &[String]) -> Result<Self, String> {
-        let path = find(program)?;
+        let path = find_program(program)?;
         let mut child = Command::new(&path)
             .args(args)
             .env("RUST_LOG", std::env::var("RUST_LOG").unwrap_or_else(|_| "error".to_owned()))
@@ -31,18 +31,19 @@
         let stdout = child.stdout.take().ok_or("standard output of the child is not captured")?;
         let mut line = String::new();
         BufReader::new(stdout).read_line(&mut line).map_err(|e| e.to_string())?;
-        let said = serde_json::from_str(&line).map_err(|e| format!("{program}: {line:?}: {e}"));
-        if said.is_err() {
+        let startup_info =
+            serde_json::from_str(&line).map_err(|e| format!("{program}: {line:?}: {e}"));
+        if startup_info.is_err() {
             drop(child.kill());
             drop(child.wait());
         }
-        Ok(Self { child, said: said? })
+        Ok(Self { child, startup_info: startup_info? })
     }
 
     /// Returns a string field of the startup line, or an empty string.
     #[must_use]
-    pub fn field(&self, name: &str) -> String {
-        self.said[name].as_str().unwrap_or_default().to_owned()
+    pub fn startup_field(&self, name: &str) -> String {
+        self.startup_info[name].as_str().unwrap_or_default().to_owned()
     }
 
     /// Returns the process id.
@@ -64,29 +65,29 @@
     }
 
     /// Returns true if the process has exited.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
     /// Returns CPU time used in milliseconds and resident memory in kilobytes.
     #[must_use]
     pub fn usage(&self) -> (u64, u64) {
-        const TICK_MS: u64 = 10;
+        const CLOCK_TICK_MS: u64 = 10;
         const PAGE_KB: u64 = 4;
-        const USER: usize = 10;
-        const SYSTEM: usize = 11;
+        const UTIME_FIELD: usize = 10;
+        const STIME_FIELD: usize = 11;
         let read = |file: &str| {
             std::fs::read_to_string(format!("/proc/{}/{file}", self.id())).unwrap_or_default()
         };
         let stat = read("stat");
         // Fields are counted after the process name, which may contain spaces.
-        let after = stat.rsplit(')').next().unwrap_or_default();
+        let after_name = stat.rsplit(')').next().unwrap_or_default();
         let fields: Vec<u64> =
-            after.split_whitespace().skip(1).map(|f| f.parse().unwrap_or(0)).collect();
-        let ticks = fields.get(USER).unwrap_or(&0) + fields.get(SYSTEM).unwrap_or(&0);
+            after_name.split_whitespace().skip(1).map(|f| f.parse().unwrap_or(0)).collect();
+        let ticks = fields.get(UTIME_FIELD).unwrap_or(&0) + fields.get(STIME_FIELD).unwrap_or(&0);
         let statm = read("statm");
         let pages: u64 = statm.split_whitespace().nth(1).and_then(|p| p.parse().ok()).unwrap_or(0);
-        (ticks * TICK_MS, pages * PAGE_KB)
+        (ticks * CLOCK_TICK_MS, pages * PAGE_KB)
     }
 }
 
@@ -100,10 +101,10 @@
 ///
 /// # Errors
 /// Fails if the program is not built.
-pub fn find(program: &str) -> Result<PathBuf, String> {
-    let own = std::env::current_exe().map_err(|e| e.to_string())?;
-    let folders = own.ancestors().skip(1).take(2);
-    let paths: Vec<PathBuf> = folders.map(|folder: &Path| folder.join(program)).collect();
+pub fn find_program(program: &str) -> Result<PathBuf, String> {
+    let exe = std::env::current_exe().map_err(|e| e.to_string())?;
+    let dirs = exe.ancestors().skip(1).take(2);
+    let paths: Vec<PathBuf> = dirs.map(|dir: &Path| dir.join(program)).collect();
     let found = paths.iter().find(|path| path.is_file());
     found.cloned().ok_or_else(|| format!("{program} not found; run `cargo build --workspace`"))
 }
--- a/crates/standin/src/report.rs
+++ b/crates/standin/src/report.rs
@@ -8,11 +8,11 @@
 /// Maximum latency that the histograms distinguish, in microseconds.
 const MAX_LATENCY_US: u64 = 120_000_000;
 /// Maximum number of violations that are kept.
-const MAX_DESCRIBED: usize = 20;
+const MAX_VIOLATIONS: usize = 20;
 
 /// Measurements collected during a load test.
 #[derive(Debug)]
-pub struct Tally {
+pub struct LoadStats {
     latency_us: Histogram<u64>,
     accepted_us: Histogram<u64>,
     refused_us: Histogram<u64>,
@@ -31,14 +31,14 @@
     /// Queries without an answer, by error.
     pub lost: BTreeMap<String, u64>,
     /// Shards covered, summed over all answers.
-    pub covered: u64,
+    pub covered_shards: u64,
     /// Shards expected, summed over all answers.
-    pub wanted: u64,
-    /// Violated guarantees, up to [`MAX_DESCRIBED`].
+    pub expected_shards: u64,
+    /// Violated guarantees, up to [`MAX_VIOLATIONS`].
     pub violations: Vec<String>,
 }
 
-impl Default for Tally {
+impl Default for LoadStats {
     fn default() -> Self {
         let histogram = || {
             Histogram::new_with_max(MAX_LATENCY_US, 3)
@@ -55,45 +55,45 @@
             missed: BTreeMap::new(),
             refused: BTreeMap::new(),
             lost: BTreeMap::new(),
-            covered: 0,
-            wanted: 0,
+            covered_shards: 0,
+            expected_shards: 0,
             violations: Vec::new(),
         }
     }
 }
 
-impl Tally {
+impl LoadStats {
     /// Records the latency of an answered query.
-    pub fn answered(&mut self, took_us: u64) {
-        self.latency_us.saturating_record(took_us);
-        self.accepted_us.saturating_record(took_us);
+    pub fn record_answer(&mut self, elapsed_us: u64) {
+        self.latency_us.saturating_record(elapsed_us);
+        self.accepted_us.saturating_record(elapsed_us);
     }
 
     /// Records a refusal and its latency.
-    pub fn refused(&mut self, kind: String, took_us: u64) {
+    pub fn record_refusal(&mut self, kind: String, elapsed_us: u64) {
         *self.refused.entry(kind).or_default() += 1;
-        self.refused_us.saturating_record(took_us);
+        self.refused_us.saturating_record(elapsed_us);
     }
 
     /// Records a query without an answer; its latency counts as the histogram's maximum.
-    pub fn lost(&mut self, error: String) {
+    pub fn record_failure(&mut self, error: String) {
         *self.lost.entry(error).or_default() += 1;
         self.latency_us.saturating_record(MAX_LATENCY_US);
     }
 
     /// Records a violated guarantee.
-    pub fn violated(&mut self, what: String) {
-        if self.violations.len() < MAX_DESCRIBED {
-            self.violations.push(what);
+    pub fn record_violation(&mut self, violation: String) {
+        if self.violations.len() < MAX_VIOLATIONS {
+            self.violations.push(violation);
         }
     }
 
     /// Returns the report; `parts` is the number that backend servers started during the test.
     #[must_use]
-    pub fn report(&self, parts: u64, wanted_parts: u64) -> Report {
-        const MS_US: f64 = 1000.0;
-        let at = |histogram: &Histogram<u64>, quantile: f64| {
-            ratio(histogram.value_at_quantile(quantile), 1) / MS_US
+    pub fn report(&self, parts: u64, expected_parts: u64) -> Report {
+        const US_PER_MS: f64 = 1000.0;
+        let percentile_ms = |histogram: &Histogram<u64>, quantile: f64| {
+            ratio(histogram.value_at_quantile(quantile), 1) / US_PER_MS
         };
         Report {
             offered: self.offered,
@@ -103,12 +103,12 @@
             missed: self.missed.clone(),
             refused: self.refused.clone(),
             lost: self.lost.clone(),
-            p50_ms: at(&self.latency_us, 0.50),
-            p99_ms: at(&self.latency_us, 0.99),
-            p999_ms: at(&self.latency_us, 0.999),
-            refused_p99_ms: at(&self.refused_us, 0.99),
-            coverage_percent: ratio(self.covered * 100, self.wanted),
-            extra_load_percent: ratio(parts * 100, wanted_parts) - 100.0,
+            p50_ms: percentile_ms(&self.latency_us, 0.50),
+            p99_ms: percentile_ms(&self.latency_us, 0.99),
+            p999_ms: percentile_ms(&self.latency_us, 0.999),
+            refused_p99_ms: percentile_ms(&self.refused_us, 0.99),
+            coverage_percent: ratio(self.covered_shards * 100, self.expected_shards),
+            extra_load_percent: ratio(parts * 100, expected_parts) - 100.0,
             violations: self.violations.clone(),
         }
     }
--- a/crates/standin/src/slopes.rs
+++ b/crates/standin/src/slopes.rs
@@ -9,16 +9,16 @@
 use eelgrasspier_decide::share;
 use eelgrasspier_decide::snapshot::{Catalogue, Held};
 
-use crate::gossip_net::Net;
+use crate::gossip_net::GossipNet;
 
 /// Maximum virtual time to wait for a condition.
-const MOST_MS: u64 = 300_000;
+const MAX_WAIT_MS: u64 = 300_000;
 /// Virtual time over which steady-state gossip is measured.
-const STEADY_MS: u64 = 10_000;
+const STEADY_STATE_MS: u64 = 10_000;
 
 /// Options of the measurements.
 #[derive(Debug, Clone, Bpaf)]
-pub struct Plan {
+pub struct Options {
     /// Instance counts for gossip, comma separated
     #[bpaf(long, argument("LIST"), fallback("7,50,200,600".to_owned()))]
     pub members: String,
@@ -28,19 +28,19 @@
 ///
 /// # Errors
 /// Fails if an instance count is not a number.
-pub fn run(plan: &Plan) -> Result<(), String> {
+pub fn run(options: &Options) -> Result<(), String> {
     println!("gossip, in virtual time, 1 % of datagrams lost");
     println!(
         "| instances | join s | bytes/s each | longest datagram | version heard ms | shares agreed after a leave s | CPU us/s each |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    for count in plan.members.split(',') {
+    for count in options.members.split(',') {
         let count = count.trim().parse().map_err(|_| format!("{count} is not a number"))?;
-        println!("{}", gossip(count));
+        println!("{}", measure_gossip(count));
     }
     println!("\nshares of 21,000 replicas: time to compute all anew");
     for count in [7, 200, 2_600] {
-        println!("| {count} members | {} us |", shares(count));
+        println!("| {count} members | {} us |", shares_us(count));
     }
     println!("\ndecisions of one query with 890 parts");
     println!("| snapshot from 890 x 2 reports | {} us |", catalogue_us(890));
@@ -48,31 +48,31 @@
     Ok(())
 }
 
-fn gossip(count: usize) -> String {
+fn measure_gossip(count: usize) -> String {
     const LOST_PER_MILLE: u64 = 10;
     let seconds = |ms: Option<u64>| {
         ms.map_or_else(|| "-".to_owned(), |ms| format!("{:.1}", to_f64(ms) / 1e3))
     };
-    let mut net = Net::new(count, LOST_PER_MILLE);
-    let joined = net.until(MOST_MS, Net::is_joined);
-    let agreed = net.until(MOST_MS, Net::is_agreed);
+    let mut net = GossipNet::new(count, LOST_PER_MILLE);
+    let joined = net.run_until(MAX_WAIT_MS, GossipNet::all_joined);
+    let agreed = net.run_until(MAX_WAIT_MS, GossipNet::all_agreed);
     let (bytes_before, start_ms, started) = (net.sent_bytes, net.now_ms(), Instant::now());
-    while net.now_ms() < start_ms + STEADY_MS {
+    while net.now_ms() < start_ms + STEADY_STATE_MS {
         net.tick();
     }
     let busy_us = u64::try_from(started.elapsed().as_micros()).unwrap_or(u64::MAX);
-    let each = (net.sent_bytes - bytes_before) * 1000 / STEADY_MS / count as u64;
-    net.put_in_force(0, 2);
-    let heard = net.until(MOST_MS, |n| n.all_heard_of(2));
+    let bytes_per_s = (net.sent_bytes - bytes_before) * 1000 / STEADY_STATE_MS / count as u64;
+    net.set_config_version(0, 2);
+    let propagated = net.run_until(MAX_WAIT_MS, |n| n.all_know_version(2));
     net.leave(count / 2);
-    let after_leave = net.until(MOST_MS, Net::is_agreed);
-    let cpu_us = busy_us * 1000 / STEADY_MS / count as u64;
+    let after_leave = net.run_until(MAX_WAIT_MS, GossipNet::all_agreed);
+    let cpu_us = busy_us * 1000 / STEADY_STATE_MS / count as u64;
     format!(
-        "| {count} | {} (agreed +{}) | {each} | {} | {} | {} | {cpu_us} |",
+        "| {count} | {} (agreed +{}) | {bytes_per_s} | {} | {} | {} | {cpu_us} |",
         seconds(joined),
         seconds(agreed),
-        net.longest_bytes,
-        heard.map_or_else(|| "-".to_owned(), |ms| ms.to_string()),
+        net.max_datagram_bytes,
+        propagated.map_or_else(|| "-".to_owned(), |ms| ms.to_string()),
         seconds(after_leave)
     )
 }
@@ -82,7 +82,7 @@
     value as f64
 }
 
-fn shares(count: u64) -> u128 {
+fn shares_us(count: u64) -> u128 {
     const REPLICAS: u64 = 21_000;
     const LIMIT: u32 = 25;
     let members: Vec<u64> = (0..count).map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15)).collect();
--- a/crates/standin/tests/common/fuse.rs
+++ b/crates/standin/tests/common/fuse.rs
@@ -1,7 +1,7 @@
 //! Loopback proxy in front of one backend server that simulates crashes of the server.
 //!
-//! It closes all connections and its port when a request contains [`ENDS`], and listens
-//! again after [`DOWN`].
+//! It closes all connections and its port when a request contains [`CRASH_TRIGGER`], and listens
+//! again after [`DOWNTIME`].
 
 use std::cell::Cell;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -15,29 +15,29 @@
 use tokio::time::Instant;
 
 /// Bytes in a request that trigger a crash.
-pub const ENDS: &[u8] = b"ends the server";
+pub const CRASH_TRIGGER: &[u8] = b"ends the server";
 /// Time between a crash and the restart.
-const DOWN: Duration = Duration::from_millis(700);
+const DOWNTIME: Duration = Duration::from_millis(700);
 /// Ports outside the ephemeral range, so that the port stays free during a crash.
-const PORTS: std::ops::Range<u16> = 32_000..32_700;
-const TRIES: usize = 200;
+const PORT_RANGE: std::ops::Range<u16> = 32_000..32_700;
+const MAX_BIND_ATTEMPTS: usize = 200;
 
 /// Proxy in front of one backend server.
 #[derive(Debug)]
-pub struct Fuse {
+pub struct CrashProxy {
     pub addr: SocketAddr,
     server: SocketAddr,
     /// Number of crashes.
-    ends: watch::Sender<u32>,
-    last: Cell<Option<Instant>>,
+    crashes: watch::Sender<u32>,
+    last_crash: Cell<Option<Instant>>,
 }
 
-impl Fuse {
+impl CrashProxy {
     /// Starts a proxy in front of `server`.
     pub async fn start(server: SocketAddr) -> Rc<Self> {
         let mut bound = None;
-        for _ in 0..TRIES {
-            let addr = SocketAddr::from((Ipv4Addr::LOCALHOST, rand::random_range(PORTS)));
+        for _ in 0..MAX_BIND_ATTEMPTS {
+            let addr = SocketAddr::from((Ipv4Addr::LOCALHOST, rand::random_range(PORT_RANGE)));
             bound = TcpListener::bind(addr).await.ok();
             if bound.is_some() {
                 break;
@@ -45,63 +45,63 @@
         }
         let listener = bound.expect("a port in the range should be free");
         let addr = listener.local_addr().unwrap();
-        let (ends, _) = watch::channel(0);
-        let fuse = Rc::new(Self { addr, server, ends, last: Cell::new(None) });
-        actix_web::rt::spawn(Rc::clone(&fuse).live(listener));
-        fuse
+        let (crashes, _) = watch::channel(0);
+        let proxy = Rc::new(Self { addr, server, crashes, last_crash: Cell::new(None) });
+        actix_web::rt::spawn(Rc::clone(&proxy).serve(listener));
+        proxy
     }
 
     /// Returns the number of crashes.
-    pub fn ends(&self) -> u32 {
-        *self.ends.borrow()
+    pub fn crashes(&self) -> u32 {
+        *self.crashes.borrow()
     }
 
-    async fn live(self: Rc<Self>, mut listener: TcpListener) {
+    async fn serve(self: Rc<Self>, mut listener: TcpListener) {
         loop {
-            let mut ends = self.ends.subscribe();
-            self.accept(&listener, &mut ends).await;
+            let mut crashes = self.crashes.subscribe();
+            self.accept(&listener, &mut crashes).await;
             drop(listener);
-            tokio::time::sleep(DOWN).await;
+            tokio::time::sleep(DOWNTIME).await;
             listener = TcpListener::bind(self.addr)
                 .await
                 .expect("the port should still be free after the downtime");
         }
     }
 
-    async fn accept(self: &Rc<Self>, listener: &TcpListener, ends: &mut watch::Receiver<u32>) {
+    async fn accept(self: &Rc<Self>, listener: &TcpListener, crashes: &mut watch::Receiver<u32>) {
         loop {
             tokio::select! {
                 accepted = listener.accept() => {
                     let Ok((caller, _)) = accepted else { continue };
-                    let (fuse, mut ends) = (Rc::clone(self), ends.clone());
+                    let (proxy, mut crashes) = (Rc::clone(self), crashes.clone());
                     actix_web::rt::spawn(async move {
                         tokio::select! {
-                            () = fuse.join(caller) => {}
-                            _ = ends.changed() => {}
+                            () = proxy.relay(caller) => {}
+                            _ = crashes.changed() => {}
                         }
                     });
                 }
-                _ = ends.changed() => return,
+                _ = crashes.changed() => return,
             }
         }
     }
 
-    async fn join(&self, caller: TcpStream) {
+    async fn relay(&self, caller: TcpStream) {
         let Ok(server) = TcpStream::connect(self.server).await else { return };
         let _ = (caller.set_nodelay(true), server.set_nodelay(true));
         let (from_caller, to_caller) = caller.into_split();
         let (from_server, to_server) = server.into_split();
         tokio::select! {
-            () = self.pass(from_caller, to_server) => {}
-            () = self.pass(from_server, to_caller) => {}
+            () = self.forward(from_caller, to_server) => {}
+            () = self.forward(from_server, to_caller) => {}
         }
     }
 
-    async fn pass(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf) {
+    async fn forward(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf) {
         let mut chunk = vec![0; 16 << 10];
         while let Ok(size @ 1..) = from.read(&mut chunk).await {
-            if chunk[..size].windows(ENDS.len()).any(|w| w == ENDS) {
-                self.ends.send_modify(|ends| *ends += 1);
+            if chunk[..size].windows(CRASH_TRIGGER.len()).any(|w| w == CRASH_TRIGGER) {
+                self.crashes.send_modify(|crashes| *crashes += 1);
                 std::future::pending::<()>().await;
             }
             if to.write_all(&chunk[..size]).await.is_err() {
--- a/crates/standin/tests/common/mod.rs
+++ b/crates/standin/tests/common/mod.rs
@@ -1,12 +1,12 @@
 //! Small test clusters and requests to them.
-#![allow(dead_code, reason = "each test file uses its own part of this module")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 pub mod fuse;
 
 use awc::Client;
 use eelgrasspier_caller::{Answer, Problem};
-use eelgrasspier_standin::backends::Shape;
-use eelgrasspier_standin::fleet::{Fleet, Plan, ServicePlan};
+use eelgrasspier_standin::backends::BackendOptions;
+use eelgrasspier_standin::cluster::{ClusterSpec, ServiceSpec, TestCluster};
 use eelgrasspier_standin::load;
 use prost::Message;
 
@@ -14,8 +14,8 @@
 pub const SERVICE: &str = "search";
 
 /// Returns a service with two replicas per shard and connections reserved for runs.
-pub fn service(shards: u32) -> ServicePlan {
-    let shape = Shape {
+pub fn service_spec(shards: u32) -> ServiceSpec {
+    let backends = BackendOptions {
         service: SERVICE.to_owned(),
         shards,
         replicas: 2,
@@ -26,28 +26,28 @@
         stragglers_per_mille: 0,
         zones: "zone-a,zone-b".to_owned(),
     };
-    ServicePlan { shape, text: "run_connections = 8\n".to_owned() }
+    ServiceSpec { backends, text: "run_connections = 8\n".to_owned() }
 }
 
 /// Returns the specification of a small test cluster.
-pub fn plan(instances: usize, shards: u32) -> Plan {
-    Plan {
+pub fn cluster_spec(instances: usize, shards: u32) -> ClusterSpec {
+    ClusterSpec {
         instances,
         zones: vec!["zone-a".to_owned(), "zone-b".to_owned()],
-        services: vec![service(shards)],
+        services: vec![service_spec(shards)],
         settings: "lame_duck_ms = 500".to_owned(),
     }
 }
 
 /// Starts a small test cluster and waits until it is ready.
-pub async fn fleet(instances: usize, shards: u32) -> Fleet {
-    Fleet::start(plan(instances, shards)).await.unwrap()
+pub async fn cluster(instances: usize, shards: u32) -> TestCluster {
+    TestCluster::start(cluster_spec(instances, shards)).await.unwrap()
 }
 
 /// Returns load options with a deadline that a busy machine can meet.
-pub fn load_plan(fleet: &Fleet, rate: u32, seconds: u32) -> load::Plan {
-    load::Plan {
-        instances: fleet.urls().join(","),
+pub fn load_options(cluster: &TestCluster, rate: u32, seconds: u32) -> load::Options {
+    load::Options {
+        instances: cluster.urls().join(","),
         service: SERVICE.to_owned(),
         rate,
         seconds,
@@ -60,13 +60,13 @@
 }
 
 /// Returns the number of parts that all backend servers have started.
-pub async fn parts(fleet: &Fleet) -> u64 {
-    fleet.counters(SERVICE).await.unwrap().iter().map(|c| c.parts).sum()
+pub async fn part_count(cluster: &TestCluster) -> u64 {
+    cluster.counters(SERVICE).await.unwrap().iter().map(|c| c.parts).sum()
 }
 
 /// Returns the number of runs that backend servers have started for a key.
-pub async fn runs(fleet: &Fleet, key: &str) -> u64 {
-    let counters = fleet.counters(SERVICE).await.unwrap();
+pub async fn run_count(cluster: &TestCluster, key: &str) -> u64 {
+    let counters = cluster.counters(SERVICE).await.unwrap();
     counters.iter().filter_map(|c| c.runs.get(key)).sum()
 }
 
@@ -112,38 +112,46 @@
 }
 
 /// Sends a query to one instance.
-pub async fn query(
-    fleet: &Fleet,
-    at: usize,
+pub async fn send_query(
+    cluster: &TestCluster,
+    index: usize,
     service: &str,
     headers: &[(&str, &str)],
     body: Vec<u8>,
 ) -> Reply {
-    let url = format!("{}/v1/services/{service}/query", fleet.instances[at].url());
+    let url = format!("{}/v1/services/{service}/query", cluster.instances[index].url());
     post(&url, headers, body).await.unwrap()
 }
 
 /// Sends a run with an idempotency key to one instance.
-pub async fn run(fleet: &Fleet, at: usize, key: &str, deadline_ms: u64) -> Result<Reply, String> {
-    let url = format!("{}/v1/services/{SERVICE}/run", fleet.instances[at].url());
+pub async fn send_run(
+    cluster: &TestCluster,
+    index: usize,
+    key: &str,
+    deadline_ms: u64,
+) -> Result<Reply, String> {
+    let url = format!("{}/v1/services/{SERVICE}/run", cluster.instances[index].url());
     let deadline = deadline_ms.to_string();
     post(&url, &[("deadline-ms", &deadline), ("idempotency-key", key)], b"run".to_vec()).await
 }
 
 /// Returns a new idempotency key.
-pub fn key() -> String {
+pub fn new_key() -> String {
     uuid::Uuid::now_v7().to_string()
 }
 
 /// Sends a GET request and returns the status.
-pub async fn get(url: &str) -> Result<u16, String> {
+pub async fn get_status(url: &str) -> Result<u16, String> {
     let answer = Client::default().get(url).send().await.map_err(|e| e.to_string())?;
     Ok(answer.status().as_u16())
 }
 
 /// Sets the same faults on every replica of the service.
-pub async fn all_faults(fleet: &Fleet, faults: &eelgrasspier_standin::backends::Faults) {
-    for addr in fleet.backends[SERVICE].addrs() {
-        fleet.backend_faults(&addr, faults).await.unwrap();
+pub async fn set_all_faults(
+    cluster: &TestCluster,
+    faults: &eelgrasspier_standin::backends::Faults,
+) {
+    for addr in cluster.backends[SERVICE].addrs() {
+        cluster.set_backend_faults(&addr, faults).await.unwrap();
     }
 }
--- a/crates/standin/tests/configuration.rs
+++ b/crates/standin/tests/configuration.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use eelgrasspier_operator::{SubmitAnswer, Submitted};
-use eelgrasspier_standin::fleet::{Fleet, until};
+use eelgrasspier_standin::cluster::{TestCluster, wait_until};
 use eelgrasspier_standin::platform::Faults;
 use futures_util::future::join;
 
@@ -11,9 +11,9 @@
     Submitted { edit_id, base, submitter: "test".to_owned(), text: text.to_owned() }
 }
 
-async fn wait_in_force(fleet: &Fleet, version: u64) {
-    let count = fleet.instances.len();
-    fleet
+async fn wait_for_version(cluster: &TestCluster, version: u64) {
+    let count = cluster.instances.len();
+    cluster
         .wait_status(&format!("version {version} is active on all instances"), |all| {
             all.len() == count && all.iter().all(|s| s.config_version == Some(version))
         })
@@ -25,19 +25,19 @@
 /// An update that is not conditional on the version would overwrite the other edit.
 #[actix_web::test]
 async fn of_two_racing_edits_one_is_accepted_and_the_other_told() {
-    let fleet = common::fleet(3, 2).await;
+    let cluster = common::cluster(3, 2).await;
     for round in 0..5 {
         let base = round + 1;
-        let text = fleet.text();
+        let text = cluster.text();
         let (one, two) = (edit(base, 2 * round + 100, &text), edit(base, 2 * round + 101, &text));
-        let (first, second) = (fleet.admin(0), fleet.admin(1));
+        let (first, second) = (cluster.admin(0), cluster.admin(1));
         let (a, b) = join(first.submit(&one), second.submit(&two)).await;
         let (a, b) = (a.unwrap(), b.unwrap());
         let accepted = SubmitAnswer::Accepted { version: base + 1 };
         let conflict = SubmitAnswer::Conflict { version: base + 1 };
         let pairs = [(accepted.clone(), conflict.clone()), (conflict, accepted)];
         assert!(pairs.contains(&(a.clone(), b.clone())), "{a:?} {b:?}");
-        wait_in_force(&fleet, base + 1).await;
+        wait_for_version(&cluster, base + 1).await;
     }
 }
 
@@ -45,15 +45,15 @@
 /// lost, and the retry finds the text changed. The edit id identifies it as the same edit.
 #[actix_web::test]
 async fn an_edit_whose_answer_is_lost_is_found() {
-    let fleet = common::fleet(2, 2).await;
+    let cluster = common::cluster(2, 2).await;
     let lost = Faults { lost_updates: 1, ..Faults::default() };
-    fleet.platform_faults(&lost).await.unwrap();
-    let answer = fleet.admin(0).submit(&edit(1, 7, &fleet.text())).await.unwrap();
+    cluster.set_platform_faults(&lost).await.unwrap();
+    let answer = cluster.admin(0).submit(&edit(1, 7, &cluster.text())).await.unwrap();
     assert_eq!(answer, SubmitAnswer::Accepted { version: 2 });
     // Submitting the same edit again, as after a lost connection, changes nothing.
-    let again = fleet.admin(1).submit(&edit(1, 7, &fleet.text())).await.unwrap();
+    let again = cluster.admin(1).submit(&edit(1, 7, &cluster.text())).await.unwrap();
     assert_eq!(again, SubmitAnswer::Accepted { version: 2 });
-    wait_in_force(&fleet, 2).await;
+    wait_for_version(&cluster, 2).await;
 }
 
 /// Guards against requests to a removed replica after a restart: version 2 is active, and an
@@ -61,19 +61,19 @@
 /// only from the platform would load version 1 or no text.
 #[actix_web::test]
 async fn a_restarted_instance_gets_the_newest_text_from_its_peers() {
-    let mut fleet = common::fleet(3, 2).await;
-    fleet.submit(1, 8, &fleet.text()).await.unwrap();
-    wait_in_force(&fleet, 2).await;
+    let mut cluster = common::cluster(3, 2).await;
+    cluster.submit(1, 8, &cluster.text()).await.unwrap();
+    wait_for_version(&cluster, 2).await;
     for faults in [
         Faults { is_stale: true, ..Faults::default() },
         Faults { is_down: true, ..Faults::default() },
     ] {
-        fleet.platform_faults(&faults).await.unwrap();
-        fleet.restart_instance(2).unwrap();
-        let url = fleet.instances[2].url();
-        let admin = fleet.admin(2);
-        until("the restarted instance is ready", async || {
-            let is_ready = common::get(&format!("{url}/readyz")).await == Ok(200);
+        cluster.set_platform_faults(&faults).await.unwrap();
+        cluster.restart_instance(2).unwrap();
+        let url = cluster.instances[2].url();
+        let admin = cluster.admin(2);
+        wait_until("the restarted instance is ready", async || {
+            let is_ready = common::get_status(&format!("{url}/readyz")).await == Ok(200);
             if is_ready {
                 let shown = admin.text().await.unwrap();
                 assert_eq!(shown.version, 2, "instance is ready with an outdated text");
@@ -88,12 +88,13 @@
 /// Texts with errors and edits without a valid token are refused and change nothing.
 #[actix_web::test]
 async fn broken_texts_and_strangers_are_refused() {
-    let fleet = common::fleet(1, 1).await;
-    let broken = fleet.admin(0).submit(&edit(1, 9, "[a]\ndepends_on = b\n")).await.unwrap();
+    let cluster = common::cluster(1, 1).await;
+    let broken = cluster.admin(0).submit(&edit(1, 9, "[a]\ndepends_on = b\n")).await.unwrap();
     let SubmitAnswer::Broken { errors } = broken else { panic!("{broken:?}") };
     assert!(errors.contains("line 2: unknown dependency b"), "{errors}");
-    let stranger = eelgrasspier_operator::AdminClient::new(&fleet.instances[0].url(), Some("x"));
-    let answer = stranger.submit(&edit(1, 10, &fleet.text())).await.unwrap();
+    let unauthorized_client =
+        eelgrasspier_operator::AdminClient::new(&cluster.instances[0].url(), Some("x"));
+    let answer = unauthorized_client.submit(&edit(1, 10, &cluster.text())).await.unwrap();
     assert_eq!(answer, SubmitAnswer::Forbidden);
-    assert_eq!(fleet.admin(0).text().await.unwrap().version, 1);
+    assert_eq!(cluster.admin(0).text().await.unwrap().version, 1);
 }
--- a/crates/standin/tests/ending.rs
+++ b/crates/standin/tests/ending.rs
@@ -12,80 +12,82 @@
 use std::time::Duration;
 
 use common::SERVICE;
-use common::fuse::{ENDS, Fuse};
-use eelgrasspier_standin::fleet::Fleet;
+use common::fuse::{CRASH_TRIGGER, CrashProxy};
+use eelgrasspier_standin::cluster::TestCluster;
 
 const SHARDS: u32 = 6;
 const INSTANCES: usize = 3;
 
-/// Starts a test cluster whose backend servers crash on requests that contain [`ENDS`].
-async fn fleet() -> (Fleet, Vec<Rc<Fuse>>) {
-    let fleet = Fleet::start_idle(common::plan(INSTANCES, SHARDS)).unwrap();
-    fleet.list_instances(0).await.unwrap();
-    let mut text = fleet.text();
-    let mut fuses = Vec::new();
-    for addr in fleet.backends[SERVICE].addrs() {
-        let fuse = Fuse::start(addr.parse().unwrap()).await;
-        text = text.replace(&addr, &fuse.addr.to_string());
-        fuses.push(fuse);
+/// Starts a test cluster whose backend servers crash on requests that contain [`CRASH_TRIGGER`].
+async fn cluster() -> (TestCluster, Vec<Rc<CrashProxy>>) {
+    let cluster = TestCluster::start_idle(common::cluster_spec(INSTANCES, SHARDS)).unwrap();
+    cluster.publish_instances(0).await.unwrap();
+    let mut text = cluster.text();
+    let mut proxies = Vec::new();
+    for addr in cluster.backends[SERVICE].addrs() {
+        let proxy = CrashProxy::start(addr.parse().unwrap()).await;
+        text = text.replace(&addr, &proxy.addr.to_string());
+        proxies.push(proxy);
     }
-    fleet.submit(0, 1, &text).await.unwrap();
-    fleet.wait_ready().await.unwrap();
-    (fleet, fuses)
+    cluster.submit(0, 1, &text).await.unwrap();
+    cluster.wait_ready().await.unwrap();
+    (cluster, proxies)
 }
 
-fn ends(fuses: &[Rc<Fuse>]) -> u32 {
-    fuses.iter().map(|f| f.ends()).sum()
+fn crash_count(proxies: &[Rc<CrashProxy>]) -> u32 {
+    proxies.iter().map(|p| p.crashes()).sum()
 }
 
 /// Waits until crashed servers have restarted and the instances have detected it.
-async fn settle() {
+async fn wait_for_recovery() {
     tokio::time::sleep(Duration::from_secs(3)).await;
 }
 
 #[actix_web::test]
 async fn a_query_that_ends_its_servers_is_refused_at_all_instances() {
-    let (fleet, fuses) = fleet().await;
+    let (cluster, proxies) = cluster().await;
     let deadline = [("deadline-ms", "2000"), ("least-coverage-percent", "50")];
     let mut verdicts: BTreeMap<String, u32> = BTreeMap::new();
     for attempt in 0..9 {
-        let body = [ENDS, b" at once"].concat();
-        let reply = common::query(&fleet, attempt % INSTANCES, SERVICE, &deadline, body).await;
+        let body = [CRASH_TRIGGER, b" at once"].concat();
+        let reply =
+            common::send_query(&cluster, attempt % INSTANCES, SERVICE, &deadline, body).await;
         *verdicts.entry(reply.problem().verdict).or_default() += 1;
-        settle().await;
+        wait_for_recovery().await;
     }
     // One server per shard, one more before the second crash is detected, and two trials.
-    let ended = ends(&fuses);
-    println!("{ended} servers crashed: {verdicts:?}");
-    assert!(ended <= SHARDS + 4, "{ended} servers crashed: {verdicts:?}");
+    let crashes = crash_count(&proxies);
+    println!("{crashes} servers crashed: {verdicts:?}");
+    assert!(crashes <= SHARDS + 4, "{crashes} servers crashed: {verdicts:?}");
     assert!(verdicts["not_run"] >= 7, "{verdicts:?}");
 }
 
 #[actix_web::test]
 async fn queries_beside_one_that_ends_servers_are_answered() {
-    let (fleet, _fuses) = fleet().await;
+    let (cluster, _proxies) = cluster().await;
     let deadline = [("deadline-ms", "2000"), ("least-coverage-percent", "50")];
     for round in 0..5 {
-        let ending = common::query(
-            &fleet,
+        let crashing = common::send_query(
+            &cluster,
             round % INSTANCES,
             SERVICE,
             &deadline,
-            [ENDS, round.to_string().as_bytes()].concat(),
+            [CRASH_TRIGGER, round.to_string().as_bytes()].concat(),
         );
-        let beside = (0..6).map(async |n: usize| {
+        let concurrent = (0..6).map(async |n: usize| {
             tokio::time::sleep(Duration::from_millis(n as u64)).await;
             let body = format!("innocent {round} {n}").into_bytes();
-            common::query(&fleet, n % INSTANCES, SERVICE, &deadline, body).await
+            common::send_query(&cluster, n % INSTANCES, SERVICE, &deadline, body).await
         });
-        let (_, replies) = tokio::join!(ending, futures_util::future::join_all(beside));
+        let (_, replies) = tokio::join!(crashing, futures_util::future::join_all(concurrent));
         for reply in &replies {
             assert!(!reply.text().contains("ended while they ran"), "{}", reply.text());
         }
-        settle().await;
+        wait_for_recovery().await;
         for n in 0..6 {
             let body = format!("innocent {round} {n}").into_bytes();
-            let reply = common::query(&fleet, (n + 1) % INSTANCES, SERVICE, &deadline, body).await;
+            let reply =
+                common::send_query(&cluster, (n + 1) % INSTANCES, SERVICE, &deadline, body).await;
             assert!(reply.answer().missed.is_empty(), "{:?}", reply.answer().missed);
         }
     }
--- a/crates/standin/tests/members.rs
+++ b/crates/standin/tests/members.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use eelgrasspier_standin::backends::Faults;
-use eelgrasspier_standin::fleet::{Fleet, addr_of, until};
+use eelgrasspier_standin::cluster::{TestCluster, entry_addr, wait_until};
 use eelgrasspier_standin::load;
 use eelgrasspier_standin::platform::Faults as PlatformFaults;
 use futures_util::future::join;
@@ -13,13 +13,13 @@
 /// Connections to a replica that the requests of the test itself may hold.
 const TEST_CONNECTIONS: u64 = 1;
 
-async fn peak_connections(fleet: &Fleet) -> u64 {
-    let counters = fleet.counters(common::SERVICE).await.unwrap();
+async fn peak_connections(cluster: &TestCluster) -> u64 {
+    let counters = cluster.counters(common::SERVICE).await.unwrap();
     counters.iter().map(|c| c.peak_connections).max().unwrap()
 }
 
-async fn after_drain(fleet: &Fleet) -> u64 {
-    fleet.counters(common::SERVICE).await.unwrap().iter().map(|c| c.after_drain).sum()
+async fn after_drain(cluster: &TestCluster) -> u64 {
+    cluster.counters(common::SERVICE).await.unwrap().iter().map(|c| c.after_drain).sum()
 }
 
 /// Guards against requests that fail on a draining server: it announces the drain in its answers
@@ -27,27 +27,27 @@
 /// learn of the drain only from a request of its own.
 #[actix_web::test]
 async fn a_leaving_server_gets_no_new_work_from_any_instance() {
-    let fleet = common::fleet(4, 2).await;
-    let plan = common::load_plan(&fleet, 40, 8);
-    let addr = addr_of(&fleet.backends[common::SERVICE].shards[0][0]);
+    let cluster = common::cluster(4, 2).await;
+    let options = common::load_options(&cluster, 40, 8);
+    let addr = entry_addr(&cluster.backends[common::SERVICE].shards[0][0]);
     let drain = async {
         tokio::time::sleep(Duration::from_secs(1)).await;
         let faults = Faults { is_draining: true, ..Faults::default() };
-        fleet.backend_faults(&addr, &faults).await.unwrap();
-        fleet
+        cluster.set_backend_faults(&addr, &faults).await.unwrap();
+        cluster
             .wait_status("all instances know of the draining server", |all| {
                 all.len() == 4 && all.iter().all(|s| s.leaving_servers == 1)
             })
             .await
             .unwrap();
-        let before = after_drain(&fleet).await;
+        let before = after_drain(&cluster).await;
         // Parts already in flight may still arrive.
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let settled = after_drain(&fleet).await;
+        let settled = after_drain(&cluster).await;
         tokio::time::sleep(Duration::from_secs(3)).await;
-        (before, settled, after_drain(&fleet).await)
+        (before, settled, after_drain(&cluster).await)
     };
-    let (report, (before, settled, last)) = join(load::run(&plan), drain).await;
+    let (report, (before, settled, last)) = join(load::run(&options), drain).await;
     let report = report.unwrap();
     assert_eq!(
         settled, last,
@@ -62,34 +62,34 @@
 /// run. The limit was exceeded when two instances divided it by different member lists.
 #[actix_web::test]
 async fn shares_hold_while_all_instances_are_replaced() {
-    let mut fleet = common::fleet(3, 2).await;
+    let mut cluster = common::cluster(3, 2).await;
     for _ in 0..3 {
-        let new = fleet.add_instance().unwrap();
-        fleet.list_instances(300).await.unwrap();
-        fleet.wait_ready().await.unwrap();
-        let name = fleet.instances[new].name.clone();
-        let report = load::run(&common::load_plan(&fleet, 60, 1)).await.unwrap();
+        let new = cluster.add_instance().unwrap();
+        cluster.publish_instances(300).await.unwrap();
+        cluster.wait_ready().await.unwrap();
+        let name = cluster.instances[new].name.clone();
+        let report = load::run(&common::load_options(&cluster, 60, 1)).await.unwrap();
         assert_eq!(report.violations, Vec::<String>::new(), "{name}");
         assert_eq!(report.lost.len(), 0, "{name}: {report}");
-        let mut old = fleet.instances.remove(0);
+        let mut old = cluster.instances.remove(0);
         old.process.signal("TERM");
-        until("the old instance stops listening", async || {
-            common::get(&format!("{}/healthz", old.url())).await.is_err()
+        wait_until("the old instance stops listening", async || {
+            common::get_status(&format!("{}/healthz", old.url())).await.is_err()
         })
         .await
         .unwrap();
-        while !old.process.has_ended() {
+        while !old.process.has_exited() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        fleet.list_instances(300).await.unwrap();
+        cluster.publish_instances(300).await.unwrap();
     }
-    fleet
+    cluster
         .wait_status("the new instances agree on shares", |all| {
             all.len() == 3 && all.iter().all(|s| s.holders == 3 && s.is_share_agreed)
         })
         .await
         .unwrap();
-    let peak = peak_connections(&fleet).await;
+    let peak = peak_connections(&cluster).await;
     assert!(peak <= 25 + TEST_CONNECTIONS, "{peak} connections at one replica");
 }
 
@@ -98,14 +98,14 @@
 /// connections immediately aborts requests that are just being written to them.
 #[actix_web::test]
 async fn a_planned_stop_cuts_nothing() {
-    let mut fleet = common::fleet(2, 2).await;
+    let mut cluster = common::cluster(2, 2).await;
     let faults = Faults { slowness: 40, ..Faults::default() };
-    common::all_faults(&fleet, &faults).await;
-    let url = fleet.instances[1].url();
-    let process = &fleet.instances[1].process;
+    common::set_all_faults(&cluster, &faults).await;
+    let url = cluster.instances[1].url();
+    let process = &cluster.instances[1].process;
     let headers: &[(&str, &str)] = &[("deadline-ms", "5000")];
     let query = format!("{url}/v1/services/{}/query", common::SERVICE);
-    let offer = async |after_ms: u64| {
+    let send_after = async |after_ms: u64| {
         tokio::time::sleep(Duration::from_millis(after_ms)).await;
         common::post(&query, headers, vec![]).await
     };
@@ -114,21 +114,23 @@
     let stop = async {
         tokio::time::sleep(Duration::from_millis(50)).await;
         process.signal("TERM");
-        until("the instance reports that it is not ready", async || {
-            common::get(&format!("{url}/readyz")).await == Ok(503)
+        wait_until("the instance reports that it is not ready", async || {
+            common::get_status(&format!("{url}/readyz")).await == Ok(503)
         })
         .await
         .unwrap();
     };
-    let offers = futures_util::future::join_all([0, 20, 100, 200, 300].map(offer));
-    let (answers, ()) = join(offers, stop).await;
+    let requests = futures_util::future::join_all([0, 20, 100, 200, 300].map(send_after));
+    let (answers, ()) = join(requests, stop).await;
     for answer in answers {
         let answer = answer.expect("the request should not be aborted").answer();
         assert_eq!(answer.missed, vec![]);
     }
-    until("the instance has exited", async || common::get(&query).await.is_err()).await.unwrap();
-    fleet.instances.truncate(1);
-    let answer = common::query(&fleet, 0, common::SERVICE, headers, vec![]).await;
+    wait_until("the instance has exited", async || common::get_status(&query).await.is_err())
+        .await
+        .unwrap();
+    cluster.instances.truncate(1);
+    let answer = common::send_query(&cluster, 0, common::SERVICE, headers, vec![]).await;
     assert_eq!(answer.status, 200);
 }
 
@@ -137,31 +139,31 @@
 /// from its list, and it resumes. Missing heartbeats alone don't distinguish a pause from a crash.
 #[actix_web::test]
 async fn a_paused_instance_keeps_its_share_until_the_platform_drops_it() {
-    let mut fleet = common::fleet(3, 2).await;
-    fleet.instances[2].process.signal("STOP");
-    fleet
+    let mut cluster = common::cluster(3, 2).await;
+    cluster.instances[2].process.signal("STOP");
+    cluster
         .wait_status("the paused instance is considered dead", |all| all.len() == 2)
         .await
         .unwrap();
-    let held = fleet.admin(0).status().await.unwrap();
-    assert!(held.iter().all(|s| s.holders == 3), "{held:?}");
-    let paused = fleet.instances.remove(2);
-    fleet.list_instances(0).await.unwrap();
-    fleet
+    let statuses = cluster.admin(0).status().await.unwrap();
+    assert!(statuses.iter().all(|s| s.holders == 3), "{statuses:?}");
+    let paused = cluster.instances.remove(2);
+    cluster.publish_instances(0).await.unwrap();
+    cluster
         .wait_status("the other instances take over the share", |all| {
             all.iter().all(|s| s.holders == 2 && s.is_share_agreed)
         })
         .await
         .unwrap();
     paused.process.signal("CONT");
-    fleet
+    cluster
         .wait_status("the instance has rejoined and shares are divided again", |all| {
             all.len() == 3 && all.iter().all(|s| s.holders == 3 && s.is_share_agreed)
         })
         .await
         .unwrap();
-    fleet.instances.push(paused);
-    let peak = peak_connections(&fleet).await;
+    cluster.instances.push(paused);
+    let peak = peak_connections(&cluster).await;
     assert!(peak <= 25 + TEST_CONNECTIONS, "{peak} connections at one replica");
 }
 
@@ -169,12 +171,12 @@
 /// provide everything that it needs except claims and edits.
 #[actix_web::test]
 async fn an_instance_starts_and_serves_during_an_outage() {
-    let mut fleet = common::fleet(3, 2).await;
+    let mut cluster = common::cluster(3, 2).await;
     let down = PlatformFaults { is_down: true, ..PlatformFaults::default() };
-    fleet.platform_faults(&down).await.unwrap();
-    fleet.restart_instance(1).unwrap();
-    fleet.wait_ready().await.unwrap();
-    let report = load::run(&common::load_plan(&fleet, 30, 2)).await.unwrap();
+    cluster.set_platform_faults(&down).await.unwrap();
+    cluster.restart_instance(1).unwrap();
+    cluster.wait_ready().await.unwrap();
+    let report = load::run(&common::load_options(&cluster, 30, 2)).await.unwrap();
     assert_eq!(report.violations, Vec::<String>::new());
     assert_eq!(report.full, report.offered, "{report}");
 }
@@ -185,19 +187,19 @@
 /// found by reading the code; between real processes the pause itself usually changes a record.
 #[actix_web::test]
 async fn a_paused_instance_that_stays_listed_serves_again() {
-    let fleet = common::fleet(2, 2).await;
-    fleet.instances[1].process.signal("STOP");
+    let cluster = common::cluster(2, 2).await;
+    cluster.instances[1].process.signal("STOP");
     tokio::time::sleep(Duration::from_secs(6)).await;
-    fleet.instances[1].process.signal("CONT");
-    let admin = fleet.admin(1);
-    until("the instance has detected its pause", async || {
+    cluster.instances[1].process.signal("CONT");
+    let admin = cluster.admin(1);
+    wait_until("the instance has detected its pause", async || {
         admin.timeline("instance-1", 0).await.unwrap().iter().any(|e| e.number == 105)
     })
     .await
     .unwrap();
-    until("the instance covers all shards again", async || {
+    wait_until("the instance covers all shards again", async || {
         let headers = &[("deadline-ms", "2000")];
-        let reply = common::query(&fleet, 1, common::SERVICE, headers, vec![]).await;
+        let reply = common::send_query(&cluster, 1, common::SERVICE, headers, vec![]).await;
         reply.status == 200 && reply.answer().missed.is_empty()
     })
     .await
--- a/crates/standin/tests/overload.rs
+++ b/crates/standin/tests/overload.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use eelgrasspier_standin::backends::Faults;
-use eelgrasspier_standin::fleet::{addr_of, until};
+use eelgrasspier_standin::cluster::{entry_addr, wait_until};
 use eelgrasspier_standin::load;
 
 /// Guards against late answers under overload, and against an overload that outlasts the excess
@@ -11,19 +11,19 @@
 /// grows until each request waits for its whole deadline.
 #[actix_web::test]
 async fn a_flood_is_refused_with_a_time_to_come_back_and_ends_with_its_cause() {
-    let fleet = common::fleet(2, 2).await;
-    common::all_faults(&fleet, &Faults { slowness: 20, ..Faults::default() }).await;
-    let flood = load::Plan { deadline_ms: 1_000, ..common::load_plan(&fleet, 1_000, 3) };
-    let report = load::run(&flood).await.unwrap();
+    let cluster = common::cluster(2, 2).await;
+    common::set_all_faults(&cluster, &Faults { slowness: 20, ..Faults::default() }).await;
+    let overload = load::Options { deadline_ms: 1_000, ..common::load_options(&cluster, 1_000, 3) };
+    let report = load::run(&overload).await.unwrap();
     // The load generator checks that refusals with verdict not_run have a retry time.
     assert_eq!(report.violations, Vec::<String>::new());
     assert_eq!(report.lost.len(), 0, "{report}");
     assert!(report.refused.values().sum::<u64>() > report.offered / 2, "{report}");
     assert!(report.full > 0, "{report}");
 
-    let calm = load::Plan { deadline_ms: 2_000, ..common::load_plan(&fleet, 5, 2) };
-    until("all queries of a low load are answered in full again", async || {
-        let report = load::run(&calm).await.unwrap();
+    let low_load = load::Options { deadline_ms: 2_000, ..common::load_options(&cluster, 5, 2) };
+    wait_until("all queries of a low load are answered in full again", async || {
+        let report = load::run(&low_load).await.unwrap();
         report.full == report.offered
     })
     .await
@@ -35,16 +35,19 @@
 /// must not be tried by every query.
 #[actix_web::test]
 async fn a_lost_shard_is_missed_at_once_and_found_again() {
-    let fleet = common::fleet(1, 3).await;
+    let cluster = common::cluster(1, 3).await;
     let addrs: Vec<String> =
-        fleet.backends[common::SERVICE].shards[1].iter().map(|e| addr_of(e)).collect();
+        cluster.backends[common::SERVICE].shards[1].iter().map(|e| entry_addr(e)).collect();
     for is_lost in [true, false] {
         for addr in &addrs {
-            fleet.backend_faults(addr, &Faults { is_lost, ..Faults::default() }).await.unwrap();
+            cluster
+                .set_backend_faults(addr, &Faults { is_lost, ..Faults::default() })
+                .await
+                .unwrap();
         }
         let headers: &[(&str, &str)] = &[("deadline-ms", "1000")];
-        until("the instance has detected the state of the shard", async || {
-            let reply = common::query(&fleet, 0, common::SERVICE, headers, vec![]).await;
+        wait_until("the instance has detected the state of the shard", async || {
+            let reply = common::send_query(&cluster, 0, common::SERVICE, headers, vec![]).await;
             let missed: Vec<String> = reply.answer().missed.into_iter().map(|m| m.reason).collect();
             let expected =
                 if is_lost { vec!["no replica holds the index version"] } else { vec![] };
--- a/crates/standin/tests/runs.rs
+++ b/crates/standin/tests/runs.rs
@@ -6,17 +6,17 @@
 use std::time::Duration;
 
 use eelgrasspier_standin::backends::Faults as BackendFaults;
-use eelgrasspier_standin::fleet::{Fleet, addr_of};
+use eelgrasspier_standin::cluster::{TestCluster, entry_addr};
 use eelgrasspier_standin::platform::Faults as PlatformFaults;
 use futures_util::future::join;
 
 /// Deadline of a run that allows for lost answers and busy machines.
-const LONG_MS: u64 = 8_000;
+const RUN_DEADLINE_MS: u64 = 8_000;
 
-async fn slow_down(fleet: &Fleet, slowness: u64) {
-    for addr in fleet.backends[common::SERVICE].addrs() {
+async fn slow_down(cluster: &TestCluster, slowness: u64) {
+    for addr in cluster.backends[common::SERVICE].addrs() {
         let faults = BackendFaults { slowness, ..BackendFaults::default() };
-        fleet.backend_faults(&addr, &faults).await.unwrap();
+        cluster.set_backend_faults(&addr, &faults).await.unwrap();
     }
 }
 
@@ -24,16 +24,16 @@
 /// caller, and the retry reaches another instance. Only a claim visible to both prevents it.
 #[actix_web::test]
 async fn a_retry_on_another_instance_does_not_run_again() {
-    let fleet = common::fleet(2, 2).await;
-    let key = common::key();
-    let first = common::run(&fleet, 0, &key, LONG_MS).await.unwrap();
+    let cluster = common::cluster(2, 2).await;
+    let key = common::new_key();
+    let first = common::send_run(&cluster, 0, &key, RUN_DEADLINE_MS).await.unwrap();
     assert_eq!((first.status, first.text()), (200, format!("ran {key}")));
-    for at in [1, 0] {
-        let retry = common::run(&fleet, at, &key, LONG_MS).await.unwrap();
+    for index in [1, 0] {
+        let retry = common::send_run(&cluster, index, &key, RUN_DEADLINE_MS).await.unwrap();
         assert_eq!(retry.status, 409, "{}", retry.text());
         assert_eq!(retry.problem().verdict, "may_have_run");
     }
-    assert_eq!(common::runs(&fleet, &key).await, 1);
+    assert_eq!(common::run_count(&cluster, &key).await, 1);
 }
 
 /// Guards against a duplicate run: a request and its retry reach two instances concurrently, and
@@ -41,15 +41,17 @@
 /// version, would let both succeed.
 #[actix_web::test]
 async fn of_two_tries_at_the_same_moment_one_runs() {
-    let fleet = common::fleet(3, 2).await;
+    let cluster = common::cluster(3, 2).await;
     for _ in 0..20 {
-        let key = common::key();
-        let (a, b) =
-            join(common::run(&fleet, 0, &key, LONG_MS), common::run(&fleet, 1, &key, LONG_MS))
-                .await;
+        let key = common::new_key();
+        let (a, b) = join(
+            common::send_run(&cluster, 0, &key, RUN_DEADLINE_MS),
+            common::send_run(&cluster, 1, &key, RUN_DEADLINE_MS),
+        )
+        .await;
         let statuses = [a.unwrap().status, b.unwrap().status];
         assert!(statuses == [200, 409] || statuses == [409, 200], "{statuses:?}");
-        assert_eq!(common::runs(&fleet, &key).await, 1);
+        assert_eq!(common::run_count(&cluster, &key).await, 1);
     }
 }
 
@@ -58,16 +60,16 @@
 /// without reading it again, the claim could belong to another instance.
 #[actix_web::test]
 async fn a_claim_whose_answer_is_lost_is_found_by_reading_again() {
-    let fleet = common::fleet(2, 2).await;
+    let cluster = common::cluster(2, 2).await;
     for faults in [
         PlatformFaults { lost_updates: 1, ..PlatformFaults::default() },
         PlatformFaults { dropped_updates: 1, ..PlatformFaults::default() },
     ] {
-        fleet.platform_faults(&faults).await.unwrap();
-        let key = common::key();
-        let answer = common::run(&fleet, 0, &key, LONG_MS).await.unwrap();
+        cluster.set_platform_faults(&faults).await.unwrap();
+        let key = common::new_key();
+        let answer = common::send_run(&cluster, 0, &key, RUN_DEADLINE_MS).await.unwrap();
         assert_eq!(answer.status, 200, "{}", answer.text());
-        assert_eq!(common::runs(&fleet, &key).await, 1);
+        assert_eq!(common::run_count(&cluster, &key).await, 1);
     }
 }
 
@@ -76,29 +78,32 @@
 /// outage. The claim is still stored on the platform and has to be released.
 #[actix_web::test]
 async fn a_request_refused_in_an_outage_runs_on_the_retry_after_it() {
-    let fleet = common::fleet(2, 2).await;
-    let key = common::key();
+    let cluster = common::cluster(2, 2).await;
+    let key = common::new_key();
     let down = PlatformFaults { is_down: true, ..PlatformFaults::default() };
-    fleet.platform_faults(&down).await.unwrap();
-    let refused = common::run(&fleet, 0, &key, LONG_MS).await.unwrap();
+    cluster.set_platform_faults(&down).await.unwrap();
+    let refused = common::send_run(&cluster, 0, &key, RUN_DEADLINE_MS).await.unwrap();
     assert_eq!(refused.status, 503, "{}", refused.text());
     assert_eq!(refused.problem().verdict, "not_run");
     assert!(refused.retry_after.is_some());
-    assert_eq!(common::runs(&fleet, &key).await, 0);
+    assert_eq!(common::run_count(&cluster, &key).await, 0);
 
     let lossy = PlatformFaults { lost_updates: 1, ..PlatformFaults::default() };
-    fleet.platform_faults(&lossy).await.unwrap();
-    let refused = common::run(&fleet, 0, &key, 300).await.unwrap();
+    cluster.set_platform_faults(&lossy).await.unwrap();
+    let refused = common::send_run(&cluster, 0, &key, 300).await.unwrap();
     assert_eq!(refused.problem().verdict, "not_run", "{}", refused.text());
 
-    fleet.platform_faults(&PlatformFaults::default()).await.unwrap();
-    eelgrasspier_standin::fleet::until("the claim is released and the retry runs", async || {
-        let retry = common::run(&fleet, 1, &key, LONG_MS).await;
-        retry.is_ok_and(|r| r.status == 200)
-    })
+    cluster.set_platform_faults(&PlatformFaults::default()).await.unwrap();
+    eelgrasspier_standin::cluster::wait_until(
+        "the claim is released and the retry runs",
+        async || {
+            let retry = common::send_run(&cluster, 1, &key, RUN_DEADLINE_MS).await;
+            retry.is_ok_and(|r| r.status == 200)
+        },
+    )
     .await
     .unwrap();
-    assert_eq!(common::runs(&fleet, &key).await, 1);
+    assert_eq!(common::run_count(&cluster, &key).await, 1);
 }
 
 /// Guards against a duplicate run after a pause: an instance claims the key and is paused for
@@ -106,27 +111,27 @@
 /// a lease, which expires during the pause, both would consider themselves the holder.
 #[actix_web::test]
 async fn a_paused_holder_that_wakes_up_does_not_run_again() {
-    let fleet = common::fleet(3, 2).await;
-    slow_down(&fleet, 50).await;
+    let cluster = common::cluster(3, 2).await;
+    slow_down(&cluster, 50).await;
     for pause_ms in [0, 2, 5, 10, 20, 40, 80] {
-        let key = common::key();
-        let holder = &fleet.instances[0].process;
+        let key = common::new_key();
+        let holder = &cluster.instances[0].process;
         let first = async {
-            let answer = common::run(&fleet, 0, &key, 1_500).await;
+            let answer = common::send_run(&cluster, 0, &key, 1_500).await;
             answer.map(|reply| reply.status)
         };
-        let rest = async {
+        let pause_and_retry = async {
             tokio::time::sleep(Duration::from_millis(pause_ms)).await;
             holder.signal("STOP");
             tokio::time::sleep(Duration::from_secs(2)).await;
-            let retry = common::run(&fleet, 1, &key, 1_500).await.unwrap();
+            let retry = common::send_run(&cluster, 1, &key, 1_500).await.unwrap();
             holder.signal("CONT");
             retry.status
         };
-        let statuses = join(first, rest).await;
-        let runs = common::runs(&fleet, &key).await;
+        let statuses = join(first, pause_and_retry).await;
+        let runs = common::run_count(&cluster, &key).await;
         assert!(runs <= 1, "{runs} runs after {pause_ms} ms, answers {statuses:?}");
-        fleet.wait_ready().await.unwrap();
+        cluster.wait_ready().await.unwrap();
     }
 }
 
@@ -135,40 +140,40 @@
 /// this as a connect error; only a failure before the first byte was sent means not run.
 #[actix_web::test]
 async fn a_run_whose_server_dies_may_have_run() {
-    let mut fleet = common::fleet(2, 1).await;
-    slow_down(&fleet, 500).await;
-    let key = common::key();
-    let url = format!("{}/v1/services/{}/run", fleet.instances[0].url(), common::SERVICE);
+    let mut cluster = common::cluster(2, 1).await;
+    slow_down(&cluster, 500).await;
+    let key = common::new_key();
+    let url = format!("{}/v1/services/{}/run", cluster.instances[0].url(), common::SERVICE);
     let headers = [("deadline-ms", "8000"), ("idempotency-key", key.as_str())];
     let kill = async {
-        eelgrasspier_standin::fleet::until("the run has started", async || {
-            common::runs(&fleet, &key).await == 1
+        eelgrasspier_standin::cluster::wait_until("the run has started", async || {
+            common::run_count(&cluster, &key).await == 1
         })
         .await
         .unwrap();
-        fleet.backends[common::SERVICE].process.signal("KILL");
+        cluster.backends[common::SERVICE].process.signal("KILL");
     };
     let (answer, ()) = join(common::post(&url, &headers, b"run".to_vec()), kill).await;
     let problem = answer.unwrap().problem();
     assert_eq!(problem.verdict, "may_have_run", "{problem:?}");
-    let retry = common::run(&fleet, 1, &key, 2_000).await.unwrap();
+    let retry = common::send_run(&cluster, 1, &key, 2_000).await.unwrap();
     assert_ne!(retry.status, 200);
-    fleet.backends.clear();
+    cluster.backends.clear();
 }
 
 /// Guards against a request that never runs: the caller closes its connection between claim and
 /// send. The key stays claimed, so a run that stopped here could not be retried.
 #[actix_web::test]
 async fn a_caller_that_hangs_up_does_not_stop_a_run() {
-    let fleet = common::fleet(2, 2).await;
+    let cluster = common::cluster(2, 2).await;
     let delay = PlatformFaults { delay_ms: 200, ..PlatformFaults::default() };
-    fleet.platform_faults(&delay).await.unwrap();
-    let key = common::key();
-    let impatient = common::run(&fleet, 0, &key, LONG_MS);
-    let hung_up = tokio::time::timeout(Duration::from_millis(100), impatient).await;
-    assert!(hung_up.is_err(), "the claim should take longer than the caller waits");
-    eelgrasspier_standin::fleet::until("the run has started", async || {
-        common::runs(&fleet, &key).await == 1
+    cluster.set_platform_faults(&delay).await.unwrap();
+    let key = common::new_key();
+    let request = common::send_run(&cluster, 0, &key, RUN_DEADLINE_MS);
+    let timed_out = tokio::time::timeout(Duration::from_millis(100), request).await;
+    assert!(timed_out.is_err(), "the claim should take longer than the caller waits");
+    eelgrasspier_standin::cluster::wait_until("the run has started", async || {
+        common::run_count(&cluster, &key).await == 1
     })
     .await
     .unwrap();
@@ -177,7 +182,7 @@
 /// Invalid keys, and keys too old to be distinguished from a retry, are refused.
 #[actix_web::test]
 async fn bad_keys_are_refused() {
-    let fleet = common::fleet(1, 1).await;
+    let cluster = common::cluster(1, 1).await;
     let old = uuid::Uuid::new_v7(uuid::Timestamp::from_unix(uuid::NoContext, 1_000_000, 0));
     for (key, status, verdict) in [
         ("reminder-7", 400, "not_run"),
@@ -185,25 +190,25 @@
         (&uuid::Uuid::nil().to_string(), 400, "not_run"),
         (&old.to_string(), 409, "may_have_run"),
     ] {
-        let answer = common::run(&fleet, 0, key, LONG_MS).await.unwrap();
+        let answer = common::send_run(&cluster, 0, key, RUN_DEADLINE_MS).await.unwrap();
         assert_eq!(answer.status, status, "{key}: {}", answer.text());
         assert_eq!(answer.problem().verdict, verdict);
-        assert_eq!(common::runs(&fleet, key).await, 0);
+        assert_eq!(common::run_count(&cluster, key).await, 0);
     }
 }
 
 /// A run on a shard that does not exist is refused as a bad request and does not claim the key.
 #[actix_web::test]
 async fn a_run_on_an_unknown_shard_is_refused() {
-    let fleet = common::fleet(1, 2).await;
-    let key = common::key();
-    let url = format!("{}/v1/services/{}/run", fleet.instances[0].url(), common::SERVICE);
+    let cluster = common::cluster(1, 2).await;
+    let key = common::new_key();
+    let url = format!("{}/v1/services/{}/run", cluster.instances[0].url(), common::SERVICE);
     let deadline = ("deadline-ms", "8000");
     let headers = [deadline, ("idempotency-key", key.as_str()), ("shards", "2")];
     let refused = common::post(&url, &headers, vec![]).await.unwrap();
     assert_eq!(refused.status, 400, "{}", refused.text());
     assert!(refused.problem().detail.contains("unknown shard 2"), "{}", refused.text());
-    let answer = common::run(&fleet, 0, &key, LONG_MS).await.unwrap();
+    let answer = common::send_run(&cluster, 0, &key, RUN_DEADLINE_MS).await.unwrap();
     assert_eq!(answer.status, 200, "{}", answer.text());
 }
 
@@ -211,23 +216,23 @@
 /// the server stops shedding.
 #[actix_web::test]
 async fn a_shed_run_may_be_tried_again() {
-    let fleet = common::fleet(1, 1).await;
+    let cluster = common::cluster(1, 1).await;
     let addrs: Vec<String> =
-        fleet.backends[common::SERVICE].shards.iter().flatten().map(|e| addr_of(e)).collect();
+        cluster.backends[common::SERVICE].shards.iter().flatten().map(|e| entry_addr(e)).collect();
     for is_shedding in [true, false] {
         for addr in &addrs {
             let faults = BackendFaults { is_shedding, ..BackendFaults::default() };
-            fleet.backend_faults(addr, &faults).await.unwrap();
+            cluster.set_backend_faults(addr, &faults).await.unwrap();
         }
         if !is_shedding {
             break;
         }
-        let key = common::key();
-        let refused = common::run(&fleet, 0, &key, LONG_MS).await.unwrap();
+        let key = common::new_key();
+        let refused = common::send_run(&cluster, 0, &key, RUN_DEADLINE_MS).await.unwrap();
         assert_eq!(refused.problem().verdict, "not_run", "{}", refused.text());
-        assert_eq!(common::runs(&fleet, &key).await, 0);
+        assert_eq!(common::run_count(&cluster, &key).await, 0);
     }
-    let key = common::key();
-    let answer = common::run(&fleet, 0, &key, LONG_MS).await.unwrap();
+    let key = common::new_key();
+    let answer = common::send_run(&cluster, 0, &key, RUN_DEADLINE_MS).await.unwrap();
     assert_eq!(answer.status, 200, "{}", answer.text());
 }
--- a/crates/standin/tests/slices.rs
+++ b/crates/standin/tests/slices.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use eelgrasspier_standin::fleet::Fleet;
+use eelgrasspier_standin::cluster::TestCluster;
 use eelgrasspier_standin::load;
 
 /// Guards against shards that are permanently missing from answers: with seven instances and
@@ -15,15 +15,15 @@
 /// ones had not arrived yet.
 #[actix_web::test]
 async fn queries_reach_the_shards_in_other_slices() {
-    let mut plan = common::plan(7, 8);
-    plan.services[0].shape.connections = 3;
-    plan.services[0].shape.replicas = 1;
-    plan.services[0].text = String::new();
-    let fleet = Fleet::start(plan).await.unwrap();
-    let report = load::run(&common::load_plan(&fleet, 30, 4)).await.unwrap();
+    let mut spec = common::cluster_spec(7, 8);
+    spec.services[0].backends.connections = 3;
+    spec.services[0].backends.replicas = 1;
+    spec.services[0].text = String::new();
+    let cluster = TestCluster::start(spec).await.unwrap();
+    let report = load::run(&common::load_options(&cluster, 30, 4)).await.unwrap();
     assert_eq!(report.violations, Vec::<String>::new());
     assert_eq!(report.full, report.offered, "{report}");
-    let counters = fleet.counters(common::SERVICE).await.unwrap();
+    let counters = cluster.counters(common::SERVICE).await.unwrap();
     let peak = counters.iter().map(|c| c.peak_connections).max().unwrap();
     // The test itself holds one more connection to read the counters.
     assert!(peak <= 3 + 1, "{peak} connections at one replica");
@@ -34,14 +34,14 @@
 /// Index versions are learned from answers of replicas, which these two never receive.
 #[actix_web::test]
 async fn an_instance_with_an_empty_slice_asks_another_for_the_snapshot() {
-    let mut plan = common::plan(3, 1);
-    plan.services[0].shape.connections = 1;
-    plan.services[0].shape.replicas = 1;
-    plan.services[0].text = String::new();
-    let fleet = Fleet::start(plan).await.unwrap();
-    for at in 0..3 {
+    let mut spec = common::cluster_spec(3, 1);
+    spec.services[0].backends.connections = 1;
+    spec.services[0].backends.replicas = 1;
+    spec.services[0].text = String::new();
+    let cluster = TestCluster::start(spec).await.unwrap();
+    for index in 0..3 {
         let headers = &[("deadline-ms", "2000")];
-        let reply = common::query(&fleet, at, common::SERVICE, headers, vec![]).await;
+        let reply = common::send_query(&cluster, index, common::SERVICE, headers, vec![]).await;
         let answer = reply.answer();
         assert_eq!((answer.index_version, answer.covered), (1, vec![0]));
     }
--- a/crates/standin/tests/whole_path.rs
+++ b/crates/standin/tests/whole_path.rs
@@ -11,8 +11,8 @@
 /// the load generator checks every answer.
 #[actix_web::test]
 async fn queries_are_answered_from_every_shard() {
-    let fleet = common::fleet(3, 4).await;
-    let report = load::run(&common::load_plan(&fleet, 20, 3)).await.unwrap();
+    let cluster = common::cluster(3, 4).await;
+    let report = load::run(&common::load_options(&cluster, 20, 3)).await.unwrap();
     assert_eq!(report.violations, Vec::<String>::new());
     assert_eq!(report.lost.len(), 0, "{report}");
     assert!(report.full > 0, "{report}");
@@ -21,9 +21,9 @@
 /// An instance without faults exports every metric that docs/METRICS.md lists for it.
 #[actix_web::test]
 async fn the_metrics_are_as_listed() {
-    let fleet = common::fleet(1, 2).await;
+    let cluster = common::cluster(1, 2).await;
     let headers = &[("deadline-ms", "2000")];
-    common::query(&fleet, 0, common::SERVICE, headers, vec![]).await.answer();
+    common::send_query(&cluster, 0, common::SERVICE, headers, vec![]).await.answer();
     let listed = [
         "eelgrasspier_query_seconds",
         "eelgrasspier_added_seconds",
@@ -37,8 +37,8 @@
         "eelgrasspier_text_version 1",
         "eelgrasspier_control_cpu_seconds",
     ];
-    eelgrasspier_standin::fleet::until("every metric is exported", async || {
-        let text = fleet.metrics(0).await.unwrap();
+    eelgrasspier_standin::cluster::wait_until("every metric is exported", async || {
+        let text = cluster.metrics(0).await.unwrap();
         listed.iter().all(|name| text.contains(name))
     })
     .await
@@ -49,8 +49,8 @@
 /// server.
 #[actix_web::test]
 async fn bad_input_is_refused_before_any_backend_server_is_touched() {
-    let fleet = common::fleet(1, 2).await;
-    let before = common::parts(&fleet).await;
+    let cluster = common::cluster(1, 2).await;
+    let before = common::part_count(&cluster).await;
     let cases: [(&str, Headers, u16, &str); 8] = [
         ("search", &[], 400, "deadline-ms is required"),
         ("search", &[("deadline-ms", "soon")], 400, "deadline-ms makes no sense: soon"),
@@ -62,14 +62,15 @@
         ("search", &[("deadline-ms", "100"), ("least-coverage-percent", "101")], 400, "101"),
     ];
     for (service, headers, status, detail) in cases {
-        let answer = common::query(&fleet, 0, service, headers, b"q".to_vec()).await;
+        let answer = common::send_query(&cluster, 0, service, headers, b"q".to_vec()).await;
         assert_eq!(answer.status, status, "{headers:?}: {}", answer.text());
         let problem = answer.problem();
         assert!(problem.detail.contains(detail), "{headers:?}: {}", problem.detail);
         assert_eq!(problem.verdict, "not_run");
     }
-    let huge = vec![b'x'; 65 * 1024];
-    let answer = common::query(&fleet, 0, "search", &[("deadline-ms", "100")], huge).await;
+    let oversized = vec![b'x'; 65 * 1024];
+    let answer =
+        common::send_query(&cluster, 0, "search", &[("deadline-ms", "100")], oversized).await;
     assert_eq!(answer.status, 413, "{}", answer.text());
-    assert_eq!(common::parts(&fleet).await, before);
+    assert_eq!(common::part_count(&cluster).await, before);
 }
