--- a/crates/standin/tests/bounds.rs
+++ b/crates/standin/tests/bounds.rs
@@ -9,7 +9,7 @@
 /// Gossip traffic per instance is bounded independently of the cluster size, and each datagram
 /// fits into one packet.
 #[test]
-fn gossip_is_bounded_for_each_instance() {
+fn gossip_traffic_per_instance_is_bounded() {
     const MAX_BYTES_PER_S: u64 = 6_000;
     const MAX_PACKET_BYTES: u64 = 1_400;
     for count in [7, 40, 120] {
@@ -30,7 +30,7 @@
 
 /// The time until all instances know a new version grows slowly with the cluster size.
 #[test]
-fn a_version_spreads_in_few_rounds() {
+fn version_propagation_time_is_bounded() {
     for (count, max_ms) in [(7, 3_000), (40, 5_000), (120, 7_000)] {
         let mut net = GossipNet::new(count, 10);
         net.run_until(120_000, GossipNet::all_agreed).expect("all instances agree on shares");
@@ -44,7 +44,7 @@
 
 /// Without faults a query costs one request per shard plus hedges, and causes no platform calls.
 #[actix_web::test]
-async fn a_query_costs_one_exchange_for_each_shard() {
+async fn query_costs_one_request_per_shard() {
     let cluster = common::cluster(2, 4).await;
     let calls_before: u64 = cluster.platform_calls().await.unwrap().values().sum();
     let before = common::part_count(&cluster).await;
--- a/crates/standin/tests/commands.rs
+++ b/crates/standin/tests/commands.rs
@@ -27,7 +27,7 @@
 /// Checks and submits a text, then reads it, the status and the timeline of the edit, which
 /// merges the events of all instances.
 #[actix_web::test]
-async fn an_operator_submits_a_text_and_reads_its_story() {
+async fn cli_submits_text_and_shows_timeline() {
     let cluster = common::cluster(3, 2).await;
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("text.ini").display().to_string();
@@ -60,7 +60,7 @@
 
 /// The timeline of a request id lists claim, send and answer of the run in this order.
 #[actix_web::test]
-async fn the_time_line_tells_what_became_of_a_run() {
+async fn timeline_lists_run_events_in_order() {
     let cluster = common::cluster(2, 1).await;
     let key = common::new_key();
     let url = format!("{}/v1/services/{}/run", cluster.instances[1].url(), common::SERVICE);
--- a/crates/standin/tests/configuration.rs
+++ b/crates/standin/tests/configuration.rs
@@ -24,7 +24,7 @@
 /// Guards against lost edits: two operators submit edits of the same version concurrently.
 /// An update that is not conditional on the version would overwrite the other edit.
 #[actix_web::test]
-async fn of_two_racing_edits_one_is_accepted_and_the_other_told() {
+async fn concurrent_edits_conflict() {
     let cluster = common::cluster(3, 2).await;
     for round in 0..5 {
         let base = round + 1;
@@ -44,7 +44,7 @@
 /// Guards against an edit that conflicts with itself: the update takes effect, its answer is
 /// lost, and the retry finds the text changed. The edit id identifies it as the same edit.
 #[actix_web::test]
-async fn an_edit_whose_answer_is_lost_is_found() {
+async fn edit_with_lost_answer_is_recognized() {
     let cluster = common::cluster(2, 2).await;
     let lost = Faults { lost_updates: 1, ..Faults::default() };
     cluster.set_platform_faults(&lost).await.unwrap();
@@ -60,7 +60,7 @@
 /// instance restarts while the platform serves a stale answer or none. An instance that reads
 /// only from the platform would load version 1 or no text.
 #[actix_web::test]
-async fn a_restarted_instance_gets_the_newest_text_from_its_peers() {
+async fn restarted_instance_gets_newest_text_from_peers() {
     let mut cluster = common::cluster(3, 2).await;
     cluster.submit(1, 8, &cluster.text()).await.unwrap();
     wait_for_version(&cluster, 2).await;
@@ -87,7 +87,7 @@
 
 /// Texts with errors and edits without a valid token are refused and change nothing.
 #[actix_web::test]
-async fn broken_texts_and_strangers_are_refused() {
+async fn invalid_texts_and_tokens_are_refused() {
     let cluster = common::cluster(1, 1).await;
     let broken = cluster.admin(0).submit(&edit(1, 9, "[a]\ndepends_on = b\n")).await.unwrap();
     let SubmitAnswer::Broken { errors } = broken else { panic!("{broken:?}") };
--- a/crates/standin/tests/ending.rs
+++ b/crates/standin/tests/ending.rs
@@ -44,7 +44,7 @@
 }
 
 #[actix_web::test]
-async fn a_query_that_ends_its_servers_is_refused_at_all_instances() {
+async fn query_that_crashes_servers_is_refused_on_all_instances() {
     let (cluster, proxies) = cluster().await;
     let deadline = [("deadline-ms", "2000"), ("least-coverage-percent", "50")];
     let mut verdicts: BTreeMap<String, u32> = BTreeMap::new();
@@ -63,7 +63,7 @@
 }
 
 #[actix_web::test]
-async fn queries_beside_one_that_ends_servers_are_answered() {
+async fn queries_concurrent_with_crashing_query_are_answered() {
     let (cluster, _proxies) = cluster().await;
     let deadline = [("deadline-ms", "2000"), ("least-coverage-percent", "50")];
     for round in 0..5 {
--- a/crates/standin/tests/members.rs
+++ b/crates/standin/tests/members.rs
@@ -26,7 +26,7 @@
 /// before the platform's list changes. Instances share this information; otherwise each would
 /// learn of the drain only from a request of its own.
 #[actix_web::test]
-async fn a_leaving_server_gets_no_new_work_from_any_instance() {
+async fn draining_server_gets_no_new_requests() {
     let cluster = common::cluster(4, 2).await;
     let options = common::load_options(&cluster, 40, 8);
     let addr = entry_addr(&cluster.backends[common::SERVICE].shards[0][0]);
@@ -61,7 +61,7 @@
 /// one, each new one starting before an old one stops, while the platform's list lags and queries
 /// run. The limit was exceeded when two instances divided it by different member lists.
 #[actix_web::test]
-async fn shares_hold_while_all_instances_are_replaced() {
+async fn connection_limits_hold_during_rolling_replacement() {
     let mut cluster = common::cluster(3, 2).await;
     for _ in 0..3 {
         let new = cluster.add_instance().unwrap();
@@ -97,7 +97,7 @@
 /// queries, and gets new ones until the load balancer notices. A server that closes idle
 /// connections immediately aborts requests that are just being written to them.
 #[actix_web::test]
-async fn a_planned_stop_cuts_nothing() {
+async fn planned_stop_aborts_no_request() {
     let mut cluster = common::cluster(2, 2).await;
     let faults = Faults { slowness: 40, ..Faults::default() };
     common::set_all_faults(&cluster, &faults).await;
@@ -138,7 +138,7 @@
 /// loses it: an instance is paused and considered dead by the others, the platform removes it
 /// from its list, and it resumes. Missing heartbeats alone don't distinguish a pause from a crash.
 #[actix_web::test]
-async fn a_paused_instance_keeps_its_share_until_the_platform_drops_it() {
+async fn paused_instance_keeps_share_until_delisted() {
     let mut cluster = common::cluster(3, 2).await;
     cluster.instances[2].process.signal("STOP");
     cluster
@@ -170,7 +170,7 @@
 /// Guards against an instance that can't restart during an outage of the platform. Its peers
 /// provide everything that it needs except claims and edits.
 #[actix_web::test]
-async fn an_instance_starts_and_serves_during_an_outage() {
+async fn instance_starts_during_platform_outage() {
     let mut cluster = common::cluster(3, 2).await;
     let down = PlatformFaults { is_down: true, ..PlatformFaults::default() };
     cluster.set_platform_faults(&down).await.unwrap();
@@ -186,7 +186,7 @@
 /// fault was that shares were only agreed on again after a change to a member record. It was
 /// found by reading the code; between real processes the pause itself usually changes a record.
 #[actix_web::test]
-async fn a_paused_instance_that_stays_listed_serves_again() {
+async fn listed_instance_serves_again_after_pause() {
     let cluster = common::cluster(2, 2).await;
     cluster.instances[1].process.signal("STOP");
     tokio::time::sleep(Duration::from_secs(6)).await;
--- a/crates/standin/tests/overload.rs
+++ b/crates/standin/tests/overload.rs
@@ -10,7 +10,7 @@
 /// load: the load is a multiple of the capacity of the backend servers. A queue without a limit
 /// grows until each request waits for its whole deadline.
 #[actix_web::test]
-async fn a_flood_is_refused_with_a_time_to_come_back_and_ends_with_its_cause() {
+async fn overload_is_refused_with_retry_time_and_recovers() {
     let cluster = common::cluster(2, 2).await;
     common::set_all_faults(&cluster, &Faults { slowness: 20, ..Faults::default() }).await;
     let overload = load::Options { deadline_ms: 1_000, ..common::load_options(&cluster, 1_000, 3) };
@@ -34,7 +34,7 @@
 /// both replicas of a shard stop answering and recover later. Replicas that are known to be down
 /// must not be tried by every query.
 #[actix_web::test]
-async fn a_lost_shard_is_missed_at_once_and_found_again() {
+async fn unavailable_shard_is_skipped_and_recovers() {
     let cluster = common::cluster(1, 3).await;
     let addrs: Vec<String> =
         cluster.backends[common::SERVICE].shards[1].iter().map(|e| entry_addr(e)).collect();
--- a/crates/standin/tests/restored.rs
+++ b/crates/standin/tests/restored.rs
@@ -48,7 +48,7 @@
 
 /// Guards against a second run of a request whose claim is missing from the backup.
 #[actix_web::test]
-async fn a_run_whose_claim_is_lost_does_not_run_again() {
+async fn run_with_lost_claim_does_not_run_again() {
     let cluster = common::cluster(2, 2).await;
     cluster.send_platform_command("copy").await.unwrap();
     for _ in 0..3 {
@@ -66,7 +66,7 @@
 /// Guards against a second run of a request whose claim is missing from the backup, after all
 /// instances that had it in memory have restarted.
 #[actix_web::test]
-async fn a_run_whose_claim_nobody_remembers_does_not_run_again() {
+async fn run_with_lost_claim_does_not_run_again_after_restarts() {
     let mut cluster = common::cluster(2, 2).await;
     cluster.send_platform_command("copy").await.unwrap();
     let key = common::new_key();
@@ -84,7 +84,7 @@
 
 /// Guards against the loss of an accepted text that is missing from the backup.
 #[actix_web::test]
-async fn a_text_that_the_copy_lacks_stays_in_force_and_is_written_again() {
+async fn text_missing_from_backup_stays_active_and_is_rewritten() {
     let mut cluster = common::cluster(3, 2).await;
     cluster.send_platform_command("copy").await.unwrap();
     let newer = text_with(&cluster, 7_001);
@@ -133,7 +133,7 @@
 /// Guards against an edit that overwrites another because the version number it is based on was
 /// assigned a second time after a restore.
 #[actix_web::test]
-async fn an_edit_from_a_version_of_before_a_restore_overwrites_nothing() {
+async fn edit_based_on_version_before_restore_conflicts() {
     let cluster = common::cluster(2, 2).await;
     cluster.send_platform_command("copy").await.unwrap();
     let lost = text_with(&cluster, 7_001);
--- a/crates/standin/tests/runs.rs
+++ b/crates/standin/tests/runs.rs
@@ -23,7 +23,7 @@
 /// Guards against a duplicate run: the answer to the first attempt is lost on its way to the
 /// caller, and the retry reaches another instance. Only a claim visible to both prevents it.
 #[actix_web::test]
-async fn a_retry_on_another_instance_does_not_run_again() {
+async fn retry_on_another_instance_does_not_run_again() {
     let cluster = common::cluster(2, 2).await;
     let key = common::new_key();
     let first = common::send_run(&cluster, 0, &key, RUN_DEADLINE_MS).await.unwrap();
@@ -40,7 +40,7 @@
 /// both claim the key. A check before the write, or a write that is not conditional on the
 /// version, would let both succeed.
 #[actix_web::test]
-async fn of_two_tries_at_the_same_moment_one_runs() {
+async fn one_of_two_concurrent_attempts_runs() {
     let cluster = common::cluster(3, 2).await;
     for _ in 0..20 {
         let key = common::new_key();
@@ -59,7 +59,7 @@
 /// lost. Treated as a failure, the key would stay claimed without an owner; treated as a success
 /// without reading it again, the claim could belong to another instance.
 #[actix_web::test]
-async fn a_claim_whose_answer_is_lost_is_found_by_reading_again() {
+async fn claim_with_lost_answer_is_confirmed_by_read() {
     let cluster = common::cluster(2, 2).await;
     for faults in [
         PlatformFaults { lost_updates: 1, ..PlatformFaults::default() },
@@ -77,7 +77,7 @@
 /// claim is lost, the request is refused as not run, and the caller retries later, after an
 /// outage. The claim is still stored on the platform and has to be released.
 #[actix_web::test]
-async fn a_request_refused_in_an_outage_runs_on_the_retry_after_it() {
+async fn request_refused_during_outage_runs_on_later_retry() {
     let cluster = common::cluster(2, 2).await;
     let key = common::new_key();
     let down = PlatformFaults { is_down: true, ..PlatformFaults::default() };
@@ -110,7 +110,7 @@
 /// longer than all timeouts, the retry reaches another instance, and the first one resumes. With
 /// a lease, which expires during the pause, both would consider themselves the holder.
 #[actix_web::test]
-async fn a_paused_holder_that_wakes_up_does_not_run_again() {
+async fn resumed_claim_holder_does_not_run_again() {
     let cluster = common::cluster(3, 2).await;
     slow_down(&cluster, 50).await;
     for pause_ms in [0, 2, 5, 10, 20, 40, 80] {
@@ -139,7 +139,7 @@
 /// it received the request, and the connection breaks without an answer. The HTTP client reports
 /// this as a connect error; only a failure before the first byte was sent means not run.
 #[actix_web::test]
-async fn a_run_whose_server_dies_may_have_run() {
+async fn run_on_killed_server_may_have_run() {
     let mut cluster = common::cluster(2, 1).await;
     slow_down(&cluster, 500).await;
     let key = common::new_key();
@@ -164,7 +164,7 @@
 /// Guards against a request that never runs: the caller closes its connection between claim and
 /// send. The key stays claimed, so a run that stopped here could not be retried.
 #[actix_web::test]
-async fn a_caller_that_hangs_up_does_not_stop_a_run() {
+async fn caller_disconnect_does_not_stop_run() {
     let cluster = common::cluster(2, 2).await;
     let delay = PlatformFaults { delay_ms: 200, ..PlatformFaults::default() };
     cluster.set_platform_faults(&delay).await.unwrap();
@@ -181,7 +181,7 @@
 
 /// Invalid keys, and keys too old to be distinguished from a retry, are refused.
 #[actix_web::test]
-async fn bad_keys_are_refused() {
+async fn invalid_and_expired_keys_are_refused() {
     let cluster = common::cluster(1, 1).await;
     let old = uuid::Uuid::new_v7(uuid::Timestamp::from_unix(uuid::NoContext, 1_000_000, 0));
     for (key, status, verdict) in [
@@ -199,7 +199,7 @@
 
 /// A run on a shard that does not exist is refused as a bad request and does not claim the key.
 #[actix_web::test]
-async fn a_run_on_an_unknown_shard_is_refused() {
+async fn run_on_unknown_shard_is_refused() {
     let cluster = common::cluster(1, 2).await;
     let key = common::new_key();
     let url = format!("{}/v1/services/{}/run", cluster.instances[0].url(), common::SERVICE);
@@ -215,7 +215,7 @@
 /// A run that a server sheds is refused with verdict `not_run`, and runs are accepted again once
 /// the server stops shedding.
 #[actix_web::test]
-async fn a_shed_run_may_be_tried_again() {
+async fn shed_run_is_refused_as_not_run() {
     let cluster = common::cluster(1, 1).await;
     let addrs: Vec<String> =
         cluster.backends[common::SERVICE].shards.iter().flatten().map(|e| entry_addr(e)).collect();
--- a/crates/standin/tests/slices.rs
+++ b/crates/standin/tests/slices.rs
@@ -14,7 +14,7 @@
 /// first report it had not received, or no instance was asked because the state of the connected
 /// ones had not arrived yet.
 #[actix_web::test]
-async fn queries_reach_the_shards_in_other_slices() {
+async fn queries_reach_shards_of_other_slices() {
     let mut spec = common::cluster_spec(7, 8);
     spec.services[0].backends.connections = 3;
     spec.services[0].backends.replicas = 1;
@@ -33,7 +33,7 @@
 /// replica that allows one connection, two of three instances have no connection to the service.
 /// Index versions are learned from answers of replicas, which these two never receive.
 #[actix_web::test]
-async fn an_instance_with_an_empty_slice_asks_another_for_the_snapshot() {
+async fn instance_with_empty_slice_gets_snapshot_from_peer() {
     let mut spec = common::cluster_spec(3, 1);
     spec.services[0].backends.connections = 1;
     spec.services[0].backends.replicas = 1;
--- a/crates/standin/tests/snapshots.rs
+++ b/crates/standin/tests/snapshots.rs
@@ -14,7 +14,7 @@
 /// Guards against answers with parts of two index versions, which show entries twice or at their
 /// old place: replicas load a new version one by one and drop the old one while queries run.
 #[actix_web::test]
-async fn no_answer_mixes_versions_while_they_roll() {
+async fn answers_do_not_mix_versions_during_rollout() {
     let cluster = common::cluster(3, 4).await;
     let options = common::load_options(&cluster, 40, 6);
     let roll = async {
@@ -42,7 +42,7 @@
 /// has four shards instead of three, and the text lists the replicas of the fourth in advance.
 /// The number of shards is a property of the version, not of the text.
 #[actix_web::test]
-async fn a_split_of_shards_is_seen_as_a_whole_or_not_at_all() {
+async fn shard_split_is_atomic_for_answers() {
     let cluster = common::cluster(2, 4).await;
     let shards = cluster.backends[common::SERVICE].shards.clone();
     let old: Vec<String> = shards[..3].iter().flatten().map(|e| entry_addr(e)).collect();
@@ -75,7 +75,7 @@
 /// the requests sent: all replicas of one shard refuse, and the caller then sets a minimum
 /// coverage, with and without a selection of shards.
 #[actix_web::test]
-async fn a_missing_shard_is_named_and_the_least_coverage_is_kept() {
+async fn missing_shards_are_reported_and_minimum_coverage_is_enforced() {
     let cluster = common::cluster(1, 4).await;
     for entry in &cluster.backends[common::SERVICE].shards[2] {
         let faults = Faults { is_shedding: true, ..Faults::default() };
@@ -100,7 +100,7 @@
 
 /// Callers can pin an index version, as a backend server does for the services it depends on.
 #[actix_web::test]
-async fn a_pinned_version_is_kept_or_refused() {
+async fn pinned_version_is_used_or_refused() {
     let cluster = common::cluster(1, 2).await;
     common::set_all_faults(&cluster, &with_versions(&[(1, 2), (2, 2)])).await;
     let deadline = ("deadline-ms", "1000");
--- a/crates/standin/tests/whole_path.rs
+++ b/crates/standin/tests/whole_path.rs
@@ -10,7 +10,7 @@
 /// Answers from several instances are complete, from one snapshot and with accurate coverage;
 /// the load generator checks every answer.
 #[actix_web::test]
-async fn queries_are_answered_from_every_shard() {
+async fn queries_cover_all_shards() {
     let cluster = common::cluster(3, 4).await;
     let report = load::run(&common::load_options(&cluster, 20, 3)).await.unwrap();
     assert_eq!(report.violations, Vec::<String>::new());
@@ -20,7 +20,7 @@
 
 /// An instance without faults exports every metric that docs/METRICS.md lists for it.
 #[actix_web::test]
-async fn the_metrics_are_as_listed() {
+async fn listed_metrics_are_exported() {
     let cluster = common::cluster(1, 2).await;
     let headers = &[("deadline-ms", "2000")];
     common::send_query(&cluster, 0, common::SERVICE, headers, vec![]).await.answer();
@@ -48,7 +48,7 @@
 /// Invalid requests are refused with a message that names the error, and don't reach any backend
 /// server.
 #[actix_web::test]
-async fn bad_input_is_refused_before_any_backend_server_is_touched() {
+async fn invalid_requests_are_refused_without_backend_requests() {
     let cluster = common::cluster(1, 2).await;
     let before = common::part_count(&cluster).await;
     let cases: [(&str, Headers, u16, &str); 8] = [
