--- a/crates/standin/src/report.rs
+++ b/crates/standin/src/report.rs
@@ -127,7 +127,7 @@
     pub offered: u64,
     /// Answers received within the deadline.
     pub in_time: u64,
-    /// Answers received after the deadline.
+    /// Answers received after the deadline, which are worthless to callers.
     pub late: u64,
     /// Answers that cover all shards.
     pub full: u64,
--- a/crates/standin/tests/commands.rs
+++ b/crates/standin/tests/commands.rs
@@ -25,7 +25,7 @@
 }
 
 /// Checks and submits a text, then reads it, the status and the timeline of the edit, which
-/// merges the events of all instances.
+/// lists the events of all instances in one order.
 #[actix_web::test]
 async fn cli_submits_text_and_shows_timeline() {
     let cluster = common::cluster(3, 2).await;
--- a/crates/standin/tests/overload.rs
+++ b/crates/standin/tests/overload.rs
@@ -6,9 +6,9 @@
 use eelgrasspier_standin::cluster::{entry_addr, wait_until};
 use eelgrasspier_standin::load;
 
-/// Guards against late answers under overload, and against an overload that outlasts the excess
-/// load: the load is a multiple of the capacity of the backend servers. A queue without a limit
-/// grows until each request waits for its whole deadline.
+/// Guards against late answers under overload, which are worthless to callers, and against an
+/// overload that outlasts its cause: the load is a multiple of the capacity of the backend
+/// servers. A queue without a limit grows until each request waits for its whole deadline.
 #[actix_web::test]
 async fn overload_is_refused_with_retry_time_and_recovers() {
     let cluster = common::cluster(2, 2).await;
--- a/crates/standin/tests/restored.rs
+++ b/crates/standin/tests/restored.rs
@@ -32,8 +32,9 @@
     }
 }
 
-/// Returns the key of a completed run; retries because claims are refused for a time after a
-/// restore.
+/// Runs requests until one succeeds and returns its key.
+///
+/// Claims are refused for some time after a restore, so the first attempts may fail.
 async fn run_once(cluster: &TestCluster) -> String {
     let completed_key = std::cell::RefCell::default();
     wait_until("a run is answered", async || {
@@ -82,7 +83,7 @@
     assert_eq!(common::run_count(&cluster, &key).await, 1);
 }
 
-/// Guards against the loss of an accepted text that is missing from the backup.
+/// Guards against the loss or rollback of an accepted text that is missing from the backup.
 #[actix_web::test]
 async fn text_missing_from_backup_stays_active_and_is_rewritten() {
     let mut cluster = common::cluster(3, 2).await;
