--- a/crates/decide/src/verdict.rs
+++ b/crates/decide/src/verdict.rs
@@ -18,38 +18,38 @@
     BadRequest(String),
     /// the body is longer than {0} bytes
     BodyTooLarge(usize),
-    /// no route for {0}
+    /// no route leads to {0}
     UnknownRoute(String),
     /// unknown service {0}
     UnknownService(String),
-    /// no configuration is active yet
+    /// no configuration is in force yet
     NotReady,
-    /// overloaded: the request cannot be answered in time
+    /// more work is offered than can be answered in time
     Overloaded,
-    /// team {0} has used up its share of the capacity
+    /// team {0} uses its whole share
     TeamShare(String),
     /// no complete snapshot of the index is known
     NoSnapshot,
-    /// index version {0} is not available on the shards
+    /// index version {0} is not held by the shards
     SnapshotGone(u64),
-    /// {covered} shards answered, but at least {wanted} are required
+    /// coverage {covered} of {wanted} shards is below the least accepted
     Coverage {
         /// Number of shards that answered.
         covered: u32,
         /// Minimum number of shards that the caller accepts.
         wanted: u32,
     },
-    /// the deadline is too close for the request to finish
+    /// the deadline is too near to finish
     TooLate,
     /// the platform did not confirm the claim of the idempotency key
     ClaimUnavailable,
     /// the idempotency key was claimed before
     AlreadyClaimed,
-    /// the idempotency key is older than the retained claims
+    /// the idempotency key is older than the claims that are kept
     KeyExpired,
-    /// the connection to the backend server was lost after the request was sent
+    /// the connection to the backend server was lost after the request went out
     AnswerLost,
-    /// no backend server accepted the request
+    /// no backend server took the request
     NoReplica,
     /// backend servers ended while they ran this request
     EndsReplicas,
