--- a/crates/decide/src/admission/gate.rs
+++ b/crates/decide/src/admission/gate.rs
@@ -45,7 +45,7 @@
 
 /// Outcome of a request that ran, as used to adapt the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
+pub enum LoadSignal {
     /// All parts arrived in time.
     InTime,
     /// A part was late.
@@ -58,9 +58,9 @@
 
 /// Completion of a request that ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ended {
+pub struct Completion {
     /// Outcome of the request.
-    pub ending: Ending,
+    pub signal: LoadSignal,
     /// Run time in microseconds.
     pub took_us: u64,
     /// Time left until its deadline when it started, in microseconds.
@@ -69,7 +69,7 @@
 
 /// Decision on a waiting request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Resolved {
+pub enum Resolution {
     /// The request runs now.
     Start(Ticket),
     /// The request is refused now.
@@ -121,7 +121,7 @@
     }
 
     /// Sets the maximum number of running requests, which follows the share of connections.
-    pub fn set_most(&mut self, max_running: u32) {
+    pub fn set_max_running(&mut self, max_running: u32) {
         // A limit that has not been reduced yet follows the maximum. Otherwise a new instance would
         // refuse requests that it could serve, until its limit had grown step by step.
         let is_unreduced = self.limit_units == self.max_running * LIMIT_UNITS_PER_REQUEST;
@@ -144,7 +144,7 @@
     }
 
     /// Decides on an arriving request of `team` with the deadline `deadline_ms`.
-    pub fn offer(&mut self, team: &str, weight: u32, deadline_ms: u64, now_ms: u64) -> Decision {
+    pub fn admit(&mut self, team: &str, weight: u32, deadline_ms: u64, now_ms: u64) -> Decision {
         let entry = self.teams.entry(team.to_owned()).or_default();
         entry.weight = weight;
         if self.running < self.limit() && self.waiting() == 0 {
@@ -176,7 +176,7 @@
     }
 
     /// Records the completion of a request; returns decisions on waiting requests.
-    pub fn finish(&mut self, team: &str, ended: Ended, now_ms: u64) -> Vec<Resolved> {
+    pub fn complete(&mut self, team: &str, ended: Completion, now_ms: u64) -> Vec<Resolution> {
         self.running = self.running.saturating_sub(1);
         if let Some(entry) = self.teams.get_mut(team) {
             entry.running = entry.running.saturating_sub(1);
@@ -186,14 +186,14 @@
     }
 
     /// Refuses waiting requests whose remaining time no longer suffices.
-    pub fn expire(&mut self, now_ms: u64) -> Vec<Resolved> {
+    pub fn refuse_expired(&mut self, now_ms: u64) -> Vec<Resolution> {
         let refusal = self.refusal(RefusalReason::Overloaded);
         let mut refused = Vec::new();
         for team in self.teams.values_mut() {
             team.waiting.retain(|w| {
                 let is_kept = w.until_ms > now_ms;
                 if !is_kept {
-                    refused.push(Resolved::Refuse(w.ticket, refusal.clone()));
+                    refused.push(Resolution::Refuse(w.ticket, refusal.clone()));
                 }
                 is_kept
             });
@@ -208,14 +208,14 @@
         }
     }
 
-    fn start_waiting(&mut self, now_ms: u64) -> Vec<Resolved> {
-        let mut resolved = self.expire(now_ms);
+    fn start_waiting(&mut self, now_ms: u64) -> Vec<Resolution> {
+        let mut resolved = self.refuse_expired(now_ms);
         while self.running < self.limit() {
             let Some(team) = self.next_team() else { break };
             let first = self.teams.get_mut(&team).and_then(|t| t.waiting.pop_front());
             let Some(waiting) = first else { break };
             self.start(&team);
-            resolved.push(Resolved::Start(waiting.ticket));
+            resolved.push(Resolution::Start(waiting.ticket));
         }
         self.teams.retain(|_, t| t.running > 0 || !t.waiting.is_empty());
         resolved
@@ -263,8 +263,8 @@
     }
 
     /// Raises the limit after a timely answer, or else reduces it, at most once per service time.
-    fn adapt_limit(&mut self, ended: Ended, now_ms: u64) {
-        if ended.ending == Ending::Neutral {
+    fn adapt_limit(&mut self, ended: Completion, now_ms: u64) {
+        if ended.signal == LoadSignal::Neutral {
             return;
         }
         self.record_service_time(ended.took_us);
@@ -294,13 +294,13 @@
     /// If three quarters of the time are used up, there is no room for the latency tail. A short
     /// deadline alone is no evidence, or one team with short deadlines would keep out all others:
     /// requests must also take longer than without a queue.
-    fn is_overloaded(&self, ended: Ended) -> bool {
+    fn is_overloaded(&self, ended: Completion) -> bool {
         let is_queued = self.mean_us > 2 * self.baseline_us;
-        match ended.ending {
-            Ending::Shed => true,
-            Ending::Late => is_queued,
-            Ending::InTime => is_queued && ended.took_us > ended.budget_us * 3 / 4,
-            Ending::Neutral => false,
+        match ended.signal {
+            LoadSignal::Shed => true,
+            LoadSignal::Late => is_queued,
+            LoadSignal::InTime => is_queued && ended.took_us > ended.budget_us * 3 / 4,
+            LoadSignal::Neutral => false,
         }
     }
 
--- a/crates/decide/src/admission/mod.rs
+++ b/crates/decide/src/admission/mod.rs
@@ -9,5 +9,5 @@
 mod gate;
 mod plan;
 
-pub use gate::{Decision, Ended, Ending, Gate, Resolved, Ticket};
-pub use plan::{Plan, plan, plan_part, share_misses};
+pub use gate::{Completion, Decision, Gate, LoadSignal, Resolution, Ticket};
+pub use plan::{Plan, divide_allowed_misses, plan, plan_group};
--- a/crates/decide/src/admission/plan.rs
+++ b/crates/decide/src/admission/plan.rs
@@ -16,14 +16,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Plan {
     /// The request is sent.
-    Begin {
+    Send {
         /// Positions of the shards that it is not sent to.
         left_out: Vec<usize>,
     },
     /// The request is refused, because more shards would be late than may be left out.
     Refuse {
         /// Number of shards that would be late.
-        late: usize,
+        late_count: usize,
         /// Time after which a retry may succeed, in milliseconds.
         retry_after_ms: u64,
     },
@@ -35,7 +35,7 @@
 /// `jitter`, between 0 and 1, spreads the retries of requests that are refused at the same time.
 #[must_use]
 pub fn plan(answer_ms: &[f64], may_miss: usize, left_ms: f64, jitter: f64) -> Plan {
-    plan_part(answer_ms, may_miss, may_miss, left_ms, jitter)
+    plan_group(answer_ms, may_miss, may_miss, left_ms, jitter)
 }
 
 /// Decides like [`plan`] for a group of shards of which up to `may_leave_out` may be left out.
@@ -43,7 +43,7 @@
 /// `may_miss` still applies to the whole request: if more shards of this group alone are late, the
 /// request cannot be served. Otherwise the least late shards are tried.
 #[must_use]
-pub fn plan_part(
+pub fn plan_group(
     answer_ms: &[f64],
     may_miss: usize,
     may_leave_out: usize,
@@ -57,12 +57,12 @@
     if late.len() <= may_miss {
         late.truncate(may_leave_out);
         late.sort_unstable();
-        return Plan::Begin { left_out: late };
+        return Plan::Send { left_out: late };
     }
     // By then, the queues of all shards that may not be left out must have become short enough.
     let excess_ms = answer_ms[late[may_miss]] - max_expected_ms;
     let retry_after_ms = retry_after_ms(excess_ms, left_ms, jitter);
-    Plan::Refuse { late: late.len(), retry_after_ms }
+    Plan::Refuse { late_count: late.len(), retry_after_ms }
 }
 
 /// Divides the number of shards that may be missed between groups, in proportion to their sizes.
@@ -71,7 +71,7 @@
 /// whole allowance, eight of them left out six shards of an answer that may miss four, and the work
 /// of all others was lost.
 #[must_use]
-pub fn share_misses(may_miss: usize, sizes: &[usize]) -> Vec<usize> {
+pub fn divide_allowed_misses(may_miss: usize, sizes: &[usize]) -> Vec<usize> {
     let total = sizes.iter().sum::<usize>().max(1);
     let mut shares: Vec<usize> = sizes.iter().map(|size| may_miss * size / total).collect();
     let mut by_remainder: Vec<usize> = (0..sizes.len()).collect();
--- a/crates/decide/src/allowance.rs
+++ b/crates/decide/src/allowance.rs
@@ -28,7 +28,7 @@
 /// `other_gatherers` is the number of other instances that gather; `is_gatherer` is true if this
 /// instance gathers.
 #[must_use]
-pub fn sharers_of_slack(instances: u64, other_gatherers: u64, is_gatherer: bool) -> u64 {
+pub fn slack_divisor(instances: u64, other_gatherers: u64, is_gatherer: bool) -> u64 {
     let gatherers = other_gatherers + u64::from(is_gatherer);
     let others = instances.saturating_sub(gatherers);
     match (others, is_gatherer) {
@@ -40,7 +40,7 @@
 
 /// Limits on retries of all instances together.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RepeatLimits {
+pub struct RetryLimits {
     /// Retries per request, in thousandths.
     pub ratio_milli: u64,
     /// Additional retries in each window, over all instances.
@@ -58,20 +58,20 @@
 
 /// Retry budget of one service at one instance.
 #[derive(Debug, Clone, Default)]
-pub struct Allowance {
+pub struct RetryBudget {
     spans: VecDeque<Span>,
 }
 
-impl Allowance {
+impl RetryBudget {
     /// Records a request whose first send goes to the service.
-    pub fn note_request(&mut self, limits: &RepeatLimits, now_ms: u64) {
+    pub fn record_request(&mut self, limits: &RetryLimits, now_ms: u64) {
         self.current_span(limits, now_ms).requests += 1;
     }
 
     /// Takes one retry from the budget; returns false if none is left.
     ///
     /// `instances` is the number of instances that share the slack.
-    pub fn take(&mut self, limits: &RepeatLimits, instances: u64, now_ms: u64) -> bool {
+    pub fn try_take(&mut self, limits: &RetryLimits, instances: u64, now_ms: u64) -> bool {
         let (retries_milli, max_milli) = self.retries_and_max_milli(limits, instances, now_ms);
         if retries_milli + MILLI > max_milli {
             return false;
@@ -81,13 +81,13 @@
     }
 
     /// Returns true if more than half of the current budget is spent.
-    pub fn is_scarce(&mut self, limits: &RepeatLimits, instances: u64, now_ms: u64) -> bool {
+    pub fn is_half_spent(&mut self, limits: &RetryLimits, instances: u64, now_ms: u64) -> bool {
         let (retries_milli, max_milli) = self.retries_and_max_milli(limits, instances, now_ms);
         2 * retries_milli > max_milli
     }
 
     /// Returns the fraction of the current budget that is spent, from 0 to 1.
-    pub fn spent(&mut self, limits: &RepeatLimits, instances: u64, now_ms: u64) -> f64 {
+    pub fn spent_fraction(&mut self, limits: &RetryLimits, instances: u64, now_ms: u64) -> f64 {
         let (retries_milli, max_milli) = self.retries_and_max_milli(limits, instances, now_ms);
         let to_f64 = |n: u64| f64::from(u32::try_from(n).unwrap_or(u32::MAX));
         (to_f64(retries_milli) / to_f64(max_milli).max(1.0)).min(1.0)
@@ -96,7 +96,7 @@
     /// Returns the retries in the window and their maximum, both in thousandths.
     fn retries_and_max_milli(
         &mut self,
-        limits: &RepeatLimits,
+        limits: &RetryLimits,
         instances: u64,
         now_ms: u64,
     ) -> (u64, u64) {
@@ -110,7 +110,7 @@
         (retries * MILLI, by_ratio + by_slack)
     }
 
-    fn current_span(&mut self, limits: &RepeatLimits, now_ms: u64) -> &mut Span {
+    fn current_span(&mut self, limits: &RetryLimits, now_ms: u64) -> &mut Span {
         let length_ms = (limits.window_ms / SPANS_PER_WINDOW).max(1);
         let number = now_ms / length_ms;
         while self.spans.front().is_some_and(|s| s.number + SPANS_PER_WINDOW < number) {
--- a/crates/decide/src/applied.rs
+++ b/crates/decide/src/applied.rs
@@ -11,47 +11,47 @@
     /// The object now has this content.
     Set(String, Bytes),
     /// The object does not exist any more, or never existed here.
-    Gone(String),
+    Removed(String),
 }
 
 /// Deviation from the changes as received.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Note {
+pub enum Deviation {
     /// A change was ignored because the `known` version is newer.
-    LeftOut {
+    IgnoredStale {
         /// Name of the object.
         name: String,
         /// Position of the ignored change.
-        told: Position,
+        received: Position,
         /// Position of the known version.
         known: Position,
     },
     /// The restored store lacks the object; it is retained for a while, until it is written again.
-    Kept(String),
+    Retained(String),
     /// The restored store has the object after its deletion; it is withheld for a while.
-    Doubted(String),
+    Withheld(String),
 }
 
 /// Result of applying changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Applied {
+pub struct ApplyResult {
     /// Effects on the mirror.
     pub effects: Vec<Effect>,
     /// Deviations from the changes as received.
-    pub notes: Vec<Note>,
+    pub deviations: Vec<Deviation>,
     /// True if the current era confirmed something known from an earlier one.
     pub(crate) confirms_earlier: bool,
 }
 
-impl Applied {
+impl ApplyResult {
     /// Returns true if other instances need to be notified.
     #[must_use]
-    pub fn has_news(&self) -> bool {
+    pub fn needs_notification(&self) -> bool {
         self.confirms_earlier || !self.effects.is_empty()
     }
 
-    pub(crate) fn record_left_out(&mut self, object: &Versioned, known: VersionStamp) {
-        let (name, told) = (object.name.clone(), object.stamp().at);
-        self.notes.push(Note::LeftOut { name, told, known: known.at });
+    pub(crate) fn record_ignored(&mut self, object: &Versioned, known: VersionStamp) {
+        let (name, received) = (object.name.clone(), object.stamp().position);
+        self.deviations.push(Deviation::IgnoredStale { name, received, known: known.position });
     }
 }
--- a/crates/decide/src/budget.rs
+++ b/crates/decide/src/budget.rs
@@ -8,7 +8,7 @@
 
 /// Token bucket for extra work, such as hedges and retries.
 #[derive(Debug, Clone)]
-pub struct Budget {
+pub struct TokenBucket {
     /// Tokens earned per unit of ordinary work.
     rate_milli: Milli,
     /// Maximum balance.
@@ -16,7 +16,7 @@
     balance_milli: Milli,
 }
 
-impl Budget {
+impl TokenBucket {
     /// Creates a budget that allows `percent` of extra work and a burst of `burst` units.
     #[must_use]
     pub fn new(percent: u32, burst: u32) -> Self {
@@ -35,7 +35,7 @@
     }
 
     /// Takes one unit of extra work; returns false if the balance does not suffice.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         if self.balance_milli < UNIT_MILLI {
             return false;
         }
--- a/crates/decide/src/changes.rs
+++ b/crates/decide/src/changes.rs
@@ -29,8 +29,8 @@
 
 impl Versioned {
     pub(crate) fn stamp(&self) -> VersionStamp {
-        let at = Position { era: self.era, revision: self.revision };
-        VersionStamp { at, edition: self.edition }
+        let position = Position { era: self.era, revision: self.revision };
+        VersionStamp { position, edition: self.edition }
     }
 }
 
@@ -53,8 +53,8 @@
 
 impl Deleted {
     pub(crate) fn stamp(&self) -> VersionStamp {
-        let at = Position { era: self.era, revision: self.revision };
-        VersionStamp { at, edition: self.edition }
+        let position = Position { era: self.era, revision: self.revision };
+        VersionStamp { position, edition: self.edition }
     }
 }
 
@@ -81,7 +81,7 @@
 impl Changes {
     /// Assigns the era in which the store made this answer.
     #[must_use]
-    pub fn in_era(mut self, era: u64) -> Self {
+    pub fn with_era(mut self, era: u64) -> Self {
         self.era = era;
         self.objects.iter_mut().for_each(|o| o.era = era);
         self.deleted.iter_mut().for_each(|d| d.era = era);
--- a/crates/decide/src/claim.rs
+++ b/crates/decide/src/claim.rs
@@ -41,7 +41,7 @@
 
 /// Change to a bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Change {
+pub enum BucketChange {
     /// Claims the key for this attempt.
     Claim(Key, Nonce),
     /// Releases the key; allowed only if the attempt has definitely sent nothing.
@@ -50,7 +50,7 @@
 
 /// Outcome of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Outcome {
+pub enum ClaimResult {
     /// This attempt holds the key and may send once.
     Granted,
     /// Another attempt holds the key.
@@ -62,7 +62,7 @@
 impl Bucket {
     /// Returns the bucket after a batch, which takes effect only by a conditional update.
     #[must_use]
-    pub fn with(&self, batch: &[Change]) -> Self {
+    pub fn with_changes(&self, batch: &[BucketChange]) -> Self {
         let mut next = self.clone();
         for change in batch {
             next.apply(*change);
@@ -70,14 +70,14 @@
         next
     }
 
-    fn apply(&mut self, change: Change) {
+    fn apply(&mut self, change: BucketChange) {
         match change {
-            Change::Claim(key, nonce) => {
+            BucketChange::Claim(key, nonce) => {
                 if key.issued_ms() >= self.floor_ms {
                     self.claims.entry(key).or_insert(nonce);
                 }
             }
-            Change::Release(key, nonce) => {
+            BucketChange::Release(key, nonce) => {
                 if self.claims.get(&key) == Some(&nonce) {
                     self.claims.remove(&key);
                 }
@@ -90,11 +90,11 @@
     /// The bucket must have been confirmed by the platform, or re-read after an answer was lost; in
     /// that case the nonce shows whether the update took effect.
     #[must_use]
-    pub fn outcome(&self, key: Key, nonce: Nonce) -> Option<Outcome> {
+    pub fn outcome(&self, key: Key, nonce: Nonce) -> Option<ClaimResult> {
         match self.claims.get(&key) {
-            Some(&holder) if holder == nonce => Some(Outcome::Granted),
-            Some(_) => Some(Outcome::Taken),
-            None if key.issued_ms() < self.floor_ms => Some(Outcome::Expired),
+            Some(&holder) if holder == nonce => Some(ClaimResult::Granted),
+            Some(_) => Some(ClaimResult::Taken),
+            None if key.issued_ms() < self.floor_ms => Some(ClaimResult::Expired),
             None => None,
         }
     }
@@ -105,7 +105,7 @@
     /// again, since conditions contain no era. Keys issued before `floor_ms` are therefore refused
     /// from now on. Keys of callers whose clocks are further ahead are known only if they are
     /// `remembered`.
-    pub fn enter(&mut self, era: u64, floor_ms: u64, remembered: &Self) {
+    pub fn enter_era(&mut self, era: u64, floor_ms: u64, remembered: &Self) {
         self.era = era;
         for (&key, &nonce) in &remembered.claims {
             self.claims.entry(key).or_insert(nonce);
@@ -136,28 +136,28 @@
     /// The claim is not resolved yet.
     Claiming,
     /// The key is claimed and nothing was sent.
-    Holding,
+    Claimed,
     /// The request was sent, or may have been.
     Sent,
     /// The attempt has ended without sending anything.
-    GivenUp,
+    Abandoned,
 }
 
 impl Attempt {
     /// Returns the state after the outcome of the claim.
     #[must_use]
-    pub fn resolved(self, outcome: Outcome) -> Self {
+    pub fn with_outcome(self, outcome: ClaimResult) -> Self {
         match (self, outcome) {
-            (Self::Claiming, Outcome::Granted) => Self::Holding,
-            (Self::Claiming, _) => Self::GivenUp,
+            (Self::Claiming, ClaimResult::Granted) => Self::Claimed,
+            (Self::Claiming, _) => Self::Abandoned,
             (state, _) => state,
         }
     }
 
     /// Uses the permission to send; returns `None` if there is none or it is used up.
     #[must_use]
-    pub fn send(self) -> Option<Self> {
-        (self == Self::Holding).then_some(Self::Sent)
+    pub fn use_permission(self) -> Option<Self> {
+        (self == Self::Claimed).then_some(Self::Sent)
     }
 
     /// Restores the permission to send after a send that definitely did not run.
@@ -165,14 +165,14 @@
     /// That is the case if no byte was sent, or if the server refused the request before running
     /// it. Only the sender itself may call this, for the send that it has just made.
     #[must_use]
-    pub fn not_sent(self) -> Self {
-        if self == Self::Sent { Self::Holding } else { self }
+    pub fn restore_permission(self) -> Self {
+        if self == Self::Sent { Self::Claimed } else { self }
     }
 
     /// Ends the attempt permanently; a later grant does not permit a send.
     #[must_use]
-    pub fn give_up(self) -> Self {
-        if self == Self::Sent { self } else { Self::GivenUp }
+    pub fn abandon(self) -> Self {
+        if self == Self::Sent { self } else { Self::Abandoned }
     }
 
     /// Returns true if a refusal may state that this attempt did not run.
--- a/crates/decide/src/config.rs
+++ b/crates/decide/src/config.rs
@@ -4,7 +4,7 @@
 use crate::prelude::ConfigVersion;
 
 /// Maximum number of recent edits kept in the stored object.
-pub const REMEMBERED_EDITS: usize = 64;
+pub const MAX_RECENT_EDITS: usize = 64;
 
 /// Accepted edit.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -51,26 +51,26 @@
 #[must_use]
 pub fn push_edit(mut recent_edits: Vec<Edit>, edit: Edit) -> Vec<Edit> {
     recent_edits.push(edit);
-    let surplus = recent_edits.len().saturating_sub(REMEMBERED_EDITS);
+    let surplus = recent_edits.len().saturating_sub(MAX_RECENT_EDITS);
     recent_edits.drain(..surplus);
     recent_edits
 }
 
 /// Result of offering a stored text.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Offered {
+pub enum OfferResult {
     /// The text is now in force.
     ///
     /// `lost` lists edits accepted earlier that are not part of it: the store was restored from a
     /// backup without them, and the restored text has been edited since.
-    Taken {
+    Accepted {
         /// Ids of the lost edits.
         lost: Vec<u64>,
     },
     /// The text is already in force, or older.
-    Known,
+    NotNewer,
     /// The restored store has an older text, which the one in force must replace there.
-    Outdated,
+    StoreOutdated,
 }
 
 /// Configuration version that a process has in force.
@@ -81,29 +81,29 @@
 /// assigns versions again; of two texts of different eras, the one that contains the other's last
 /// edit is newer.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct InForce {
+pub struct ConfigInForce {
     version: Option<ConfigVersion>,
     edits: Vec<Edit>,
 }
 
-impl InForce {
+impl ConfigInForce {
     /// Offers a version with its recent edits; an accepted one is in force from now on.
     #[must_use]
-    pub fn offer(&mut self, version: ConfigVersion, edits: &[Edit]) -> Offered {
+    pub fn offer(&mut self, version: ConfigVersion, edits: &[Edit]) -> OfferResult {
         let offered = self.compare(version, edits);
-        if matches!(offered, Offered::Taken { .. }) {
+        if matches!(offered, OfferResult::Accepted { .. }) {
             self.version = self.version.max(Some(version));
             self.edits = edits.to_vec();
         }
         offered
     }
 
-    fn compare(&self, version: ConfigVersion, edits: &[Edit]) -> Offered {
-        let accepted = Offered::Taken { lost: Vec::new() };
+    fn compare(&self, version: ConfigVersion, edits: &[Edit]) -> OfferResult {
+        let accepted = OfferResult::Accepted { lost: Vec::new() };
         let Some(current) = self.version else { return accepted };
-        let era = |version| Position::from_number(version).era;
+        let era = |version| Position::from_packed(version).era;
         if era(version) == era(current) {
-            return if version > current { accepted } else { Offered::Known };
+            return if version > current { accepted } else { OfferResult::NotNewer };
         }
         let has = |edits: &[Edit], last: Option<&Edit>| {
             last.is_some_and(|last| edits.iter().any(|e| e.edit_id == last.edit_id))
@@ -115,13 +115,13 @@
             // The offered text is based on the one in force, or is the same at another position.
             (false, true) => accepted,
             (true, true) if is_later => accepted,
-            (true, false) if is_later => Offered::Outdated,
+            (true, false) if is_later => OfferResult::StoreOutdated,
             (false, false) if is_later => {
                 let is_lost = |e: &&Edit| !has(edits, Some(*e));
                 let lost = self.edits.iter().filter(is_lost).map(|e| e.edit_id).collect();
-                Offered::Taken { lost }
+                OfferResult::Accepted { lost }
             }
-            _ => Offered::Known,
+            _ => OfferResult::NotNewer,
         }
     }
 
--- a/crates/decide/src/directory.rs
+++ b/crates/decide/src/directory.rs
@@ -9,7 +9,7 @@
 /// Time in milliseconds after an outage of the store for which lapsed entries are retained.
 ///
 /// Live replicas renew their entries within about two seconds; the rest allows for propagation.
-pub const COME_BACK_MS: u64 = 2_200;
+pub const LAPSED_RETENTION_MS: u64 = 2_200;
 
 /// Change in a replica's warm-up end that is ignored, in milliseconds.
 ///
@@ -58,28 +58,28 @@
     /// The entry was created or changed.
     Set(ReplicaEntry),
     /// The entry of this name was removed, or does not describe a replica any more.
-    Gone(Arc<str>),
+    Removed(Arc<str>),
 }
 
 /// Replicas by name, including entries that lapsed during an outage and are retained for a while.
 #[derive(Debug, Clone, Default)]
-pub struct Directory {
+pub struct ReplicaDirectory {
     entries: BTreeMap<Arc<str>, Arc<ReplicaEntry>>,
     /// Warm-up end by name of the replica, in milliseconds.
-    cold_until_ms: BTreeMap<Arc<str>, u64>,
+    warm_at_ms: BTreeMap<Arc<str>, u64>,
     /// End of retention in milliseconds of each entry that the list lacks.
     lapsed: BTreeMap<Arc<str>, u64>,
     /// Time in milliseconds until which removed entries are regarded as lapsed and retained.
     retention_until_ms: u64,
 }
 
-impl Directory {
+impl ReplicaDirectory {
     /// Starts the retention of lapsed entries after an outage of the store.
     ///
     /// During an outage replicas can't renew their entries, so the list loses live ones. Removing
     /// these would leave whole services without replicas just when the store is back.
-    pub fn store_is_back(&mut self, now_ms: u64) {
-        self.retention_until_ms = now_ms + COME_BACK_MS;
+    pub fn on_store_recovered(&mut self, now_ms: u64) {
+        self.retention_until_ms = now_ms + LAPSED_RETENTION_MS;
     }
 
     /// Replaces the whole list; returns true if anything changed.
@@ -93,7 +93,7 @@
             has_changed |= self.apply(EntryChange::Set(entry), now_ms);
         }
         for name in missing {
-            has_changed |= self.apply(EntryChange::Gone(name), now_ms);
+            has_changed |= self.apply(EntryChange::Removed(name), now_ms);
         }
         has_changed
     }
@@ -112,7 +112,7 @@
                 self.entries.insert(Arc::clone(&entry.name), Arc::new(entry));
                 !is_known
             }
-            EntryChange::Gone(name) => self.remove(&name, now_ms),
+            EntryChange::Removed(name) => self.remove(&name, now_ms),
         }
     }
 
@@ -121,19 +121,19 @@
     /// A warm replica may become cold again at any time. Reports are some time old when they
     /// arrive, so the computed end is slightly late.
     fn update_warm_up(&mut self, entry: &ReplicaEntry, now_ms: u64) -> bool {
-        let known_ms = self.cold_until_ms.get(&entry.name).map_or(now_ms, |&at| at.max(now_ms));
+        let known_ms = self.warm_at_ms.get(&entry.name).map_or(now_ms, |&at| at.max(now_ms));
         let until_ms = now_ms + entry.cold_left_ms;
         if known_ms.abs_diff(until_ms) < WARM_UP_TOLERANCE_MS {
             return false;
         }
-        self.cold_until_ms.insert(Arc::clone(&entry.name), until_ms);
+        self.warm_at_ms.insert(Arc::clone(&entry.name), until_ms);
         true
     }
 
     /// Returns the end of a replica's warm-up in milliseconds; in the past if it is warm.
     #[must_use]
-    pub fn cold_until_ms(&self, entry: &ReplicaEntry) -> u64 {
-        self.cold_until_ms.get(&entry.name).copied().unwrap_or(0)
+    pub fn warm_at_ms(&self, entry: &ReplicaEntry) -> u64 {
+        self.warm_at_ms.get(&entry.name).copied().unwrap_or(0)
     }
 
     fn remove(&mut self, name: &Arc<str>, now_ms: u64) -> bool {
@@ -149,7 +149,7 @@
 
     fn remove_entry(&mut self, name: &Arc<str>) {
         self.entries.remove(name);
-        self.cold_until_ms.remove(name);
+        self.warm_at_ms.remove(name);
     }
 
     /// Removes lapsed entries whose retention has ended; returns true if there were any.
--- a/crates/decide/src/gossip.rs
+++ b/crates/decide/src/gossip.rs
@@ -108,7 +108,7 @@
 pub struct LeavingServer {
     /// Hash of its address.
     #[prost(fixed64, tag = "1")]
-    pub replica: u64,
+    pub address_hash: u64,
     /// Start time of its process in milliseconds since the Unix epoch.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
@@ -168,7 +168,7 @@
 
 /// An instance as listed by the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedInstance {
     /// Its name.
     pub name: String,
     /// Its availability zone.
@@ -179,7 +179,7 @@
 
 /// A datagram to be sent.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Send {
+pub struct OutgoingDatagram {
     /// Destination.
     pub to: SocketAddr,
     /// Datagram.
@@ -188,15 +188,15 @@
 
 /// Change caused by a datagram or a tick, for the event log.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Change {
+pub enum MembershipChange {
     /// A new instance appeared, or one that was dead or had left came back.
     Joined(String),
     /// An instance announced a new state.
-    State(String),
+    StateChanged(String),
     /// An instance became suspect.
     Suspected(String),
     /// An instance was declared dead.
-    Died(String),
+    DeclaredDead(String),
     /// An instance has left.
     Left(String),
     /// This instance was suspected and refuted it.
@@ -204,5 +204,5 @@
     /// A peer announced that a backend server is leaving.
     ServerLeaving(LeavingServer),
     /// A peer's report on a request that crashes replicas added information.
-    Reported(Report),
+    ReportReceived(Report),
 }
--- a/crates/decide/src/history.rs
+++ b/crates/decide/src/history.rs
@@ -17,7 +17,7 @@
     pub revision: u64,
 }
 
-/// Number of low bits of [`Position::to_number`] that hold the revision.
+/// Number of low bits of [`Position::to_packed`] that hold the revision.
 const REVISION_BITS: u32 = 40;
 
 impl Position {
@@ -25,13 +25,13 @@
     ///
     /// For a store that reports no era, this is the revision.
     #[must_use]
-    pub fn to_number(self) -> u64 {
+    pub fn to_packed(self) -> u64 {
         self.era << REVISION_BITS | self.revision & ((1 << REVISION_BITS) - 1)
     }
 
     /// Unpacks a position from its number.
     #[must_use]
-    pub fn from_number(number: u64) -> Self {
+    pub fn from_packed(number: u64) -> Self {
         let revision = number & ((1 << REVISION_BITS) - 1);
         Self { era: number >> REVISION_BITS, revision }
     }
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VersionStamp {
     /// Position of the change in the store's history.
-    pub at: Position,
+    pub position: Position,
     /// The writer's version number; `None` if the writer assigns none or it can't be read.
     pub edition: Option<Edition>,
 }
@@ -82,7 +82,7 @@
     pub fn replaces(&self, known: &Self) -> bool {
         match (self.edition, known.edition) {
             (Some(edition), Some(known)) if edition != known => edition > known,
-            _ => self.at > known.at,
+            _ => self.position > known.position,
         }
     }
 
@@ -90,30 +90,30 @@
     #[must_use]
     pub fn is_resurrected_after(&self, deletion: &Self) -> bool {
         let is_written_before = self.edition.is_some() && self.edition <= deletion.edition;
-        self.at.era > deletion.at.era && is_written_before
+        self.position.era > deletion.position.era && is_written_before
     }
 }
 
 /// Result of comparing the era of an answer with the known one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum EraComparison {
     /// The era is unchanged.
-    Same,
+    Unchanged,
     /// The store was restored since the last answer.
     Restored,
     /// The answer precedes a restore that is already known.
-    Late,
+    Stale,
     /// The era went back, which it never should; the answer is treated as one of the current era.
-    Back,
+    Regressed,
 }
 
 /// The store's current era, learnt from its answers and from other instances.
 #[derive(Debug, Clone, Default)]
-pub struct Eras {
+pub struct EraTracker {
     current: u64,
 }
 
-impl Eras {
+impl EraTracker {
     /// Returns the latest known era; 0 while the store reports none.
     #[must_use]
     pub fn current(&self) -> u64 {
@@ -121,7 +121,7 @@
     }
 
     /// Records an era reported by another instance.
-    pub fn hear(&mut self, era: u64) {
+    pub fn observe_peer(&mut self, era: u64) {
         self.current = self.current.max(era);
     }
 
@@ -129,12 +129,23 @@
     ///
     /// `request_era` is the era known when the request was sent. A request that allows stale reads
     /// may get an answer of an earlier era at any time.
-    pub fn take(&mut self, era: Option<u64>, request_era: u64, may_be_stale: bool) -> Told {
-        let Some(era) = era.filter(|era| *era != self.current) else { return Told::Same };
+    pub fn observe_answer(
+        &mut self,
+        era: Option<u64>,
+        request_era: u64,
+        may_be_stale: bool,
+    ) -> EraComparison {
+        let Some(era) = era.filter(|era| *era != self.current) else {
+            return EraComparison::Unchanged;
+        };
         if era > self.current {
             self.current = era;
-            return Told::Restored;
+            return EraComparison::Restored;
+        }
+        if may_be_stale || request_era < self.current {
+            EraComparison::Stale
+        } else {
+            EraComparison::Regressed
         }
-        if may_be_stale || request_era < self.current { Told::Late } else { Told::Back }
     }
 }
--- a/crates/decide/src/losses.rs
+++ b/crates/decide/src/losses.rs
@@ -19,98 +19,103 @@
 
 /// Lost send of a request that has no answer yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Lost {
+pub struct LostSend {
     /// Fingerprint of the request.
     pub request: Fingerprint,
     /// Id of the send.
-    pub send: u32,
+    pub send_id: u32,
     /// True if the send was a trial on this one replica.
-    pub is_tried: bool,
+    pub is_trial: bool,
 }
 
 /// Send that crashed its server or was lost in the crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ended {
+pub struct CrashedSend {
     /// Fingerprint of the request.
     pub request: Fingerprint,
     /// Id of the send.
-    pub send: u32,
+    pub send_id: u32,
     /// True if the send was a trial and no other unanswered request was lost in the crash.
-    pub is_alone: bool,
+    pub is_isolated: bool,
 }
 
 /// State of the server at one more loss.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Known {
+pub enum ServerState {
     /// Unknown; the caller must check whether the server still listens.
     Unknown,
     /// A check is in progress.
-    Awaited,
+    Checking,
     /// The server is running.
-    Lives,
+    Running,
     /// The server has crashed.
-    HasEnded(Ended),
+    Crashed(CrashedSend),
 }
 
 #[derive(Debug, Clone)]
 struct ServerLosses {
     at_ms: u64,
-    waiting: Vec<Lost>,
+    waiting: Vec<LostSend>,
     /// True if the server has crashed, false if it is running, `None` if not known yet.
     has_ended: Option<bool>,
 }
 
 /// Backend servers with recently lost connections.
 #[derive(Debug, Clone, Default)]
-pub struct Losses {
+pub struct LostSends {
     by_server: HashMap<u64, ServerLosses>,
 }
 
-impl Losses {
+impl LostSends {
     /// Records a loss and returns the state of its server.
-    pub fn add(&mut self, server: u64, lost: Lost, now_ms: u64) -> Known {
+    pub fn record_loss(&mut self, server: u64, lost: LostSend, now_ms: u64) -> ServerState {
         self.by_server
             .retain(|_, s| s.has_ended.is_none() || now_ms < s.at_ms + STATE_RETENTION_MS);
         let Some(server_losses) = self.by_server.get_mut(&server) else {
             let first = ServerLosses { at_ms: now_ms, waiting: vec![lost], has_ended: None };
             self.by_server.insert(server, first);
-            return Known::Unknown;
+            return ServerState::Unknown;
         };
         match server_losses.has_ended {
             // Another send was lost in the same crash.
             Some(true) => {
-                let Lost { request, send, .. } = lost;
-                Known::HasEnded(Ended { request, send, is_alone: false })
+                let LostSend { request, send_id, .. } = lost;
+                ServerState::Crashed(CrashedSend { request, send_id, is_isolated: false })
             }
-            Some(false) => Known::Lives,
+            Some(false) => ServerState::Running,
             None => {
                 if server_losses.waiting.len() < MAX_WAITING {
                     server_losses.waiting.push(lost);
                 }
-                Known::Awaited
+                ServerState::Checking
             }
         }
     }
 
     /// Records the state of a server; returns the sends lost with it if it has crashed.
-    pub fn resolve(&mut self, server: u64, has_ended: bool, now_ms: u64) -> Vec<Ended> {
+    pub fn record_server_state(
+        &mut self,
+        server: u64,
+        has_ended: bool,
+        now_ms: u64,
+    ) -> Vec<CrashedSend> {
         let Some(server_losses) = self.by_server.get_mut(&server) else { return Vec::new() };
         (server_losses.has_ended, server_losses.at_ms) = (Some(has_ended), now_ms);
         let mut lost = std::mem::take(&mut server_losses.waiting);
-        lost.sort_by_key(|l| (l.request, !l.is_tried));
+        lost.sort_by_key(|l| (l.request, !l.is_trial));
         lost.dedup_by_key(|l| l.request);
         lost.retain(|_| has_ended);
         let is_only = lost.len() == 1;
-        let ended = |Lost { request, send, is_tried }| Ended {
+        let ended = |LostSend { request, send_id, is_trial }| CrashedSend {
             request,
-            send,
-            is_alone: is_tried && is_only,
+            send_id,
+            is_isolated: is_trial && is_only,
         };
         lost.into_iter().map(ended).collect()
     }
 
     /// Records that another server answered the request, so its losses are no evidence.
-    pub fn answered(&mut self, request: Fingerprint) {
+    pub fn discard_answered(&mut self, request: Fingerprint) {
         for server in self.by_server.values_mut() {
             server.waiting.retain(|l| l.request != request);
         }
@@ -118,7 +123,7 @@
 
     /// Returns the number of servers of unknown state that have lost the request.
     #[must_use]
-    pub fn awaited(&self, request: Fingerprint) -> usize {
+    pub fn pending_checks(&self, request: Fingerprint) -> usize {
         let is_lost = |s: &&ServerLosses| s.waiting.iter().any(|l| l.request == request);
         self.by_server.values().filter(is_lost).count()
     }
--- a/crates/decide/src/membership/mod.rs
+++ b/crates/decide/src/membership/mod.rs
@@ -19,7 +19,8 @@
 
 use crate::fingerprint::Fingerprint;
 pub use crate::gossip::{
-    Change, Datagram, LeavingServer, Listed, Liveness, Member, Purpose, Send, State,
+    Datagram, LeavingServer, ListedInstance, Liveness, Member, MembershipChange, OutgoingDatagram,
+    Purpose, State,
 };
 use crate::quarantine::Quarantine;
 use crate::rendezvous;
@@ -75,8 +76,8 @@
 #[derive(Debug, Clone)]
 pub struct Membership {
     own: Member,
-    others: BTreeMap<String, PeerRecord>,
-    listed: BTreeMap<String, Listed>,
+    peers: BTreeMap<String, PeerRecord>,
+    listed: BTreeMap<String, ListedInstance>,
     queue: VecDeque<(Update, u32)>,
     probe: Option<Probe>,
     indirect_probes: Vec<IndirectProbe>,
@@ -88,12 +89,12 @@
     next_bucket: u64,
     last_probe_ms: u64,
     last_gossip_ms: u64,
-    changes: Vec<Change>,
+    changes: Vec<MembershipChange>,
     /// Bytes that updates and repairs may still use; while negative, they are held back.
     send_budget_bytes: i64,
     last_tick_ms: u64,
     /// Incremented whenever a record or the platform's list changes.
-    epoch: u64,
+    change_count: u64,
     /// Reports on requests that crash replicas.
     quarantine: Quarantine,
     /// Rate limit of report broadcasts.
@@ -106,7 +107,7 @@
     pub fn new(own: Member) -> Self {
         let mut membership = Self {
             own,
-            others: BTreeMap::new(),
+            peers: BTreeMap::new(),
             listed: BTreeMap::new(),
             queue: VecDeque::new(),
             probe: None,
@@ -120,7 +121,7 @@
             changes: Vec::new(),
             send_budget_bytes: 0,
             last_tick_ms: 0,
-            epoch: 0,
+            change_count: 0,
             quarantine: Quarantine::default(),
             broadcasts: reports::BroadcastLimiter::default(),
         };
@@ -145,19 +146,19 @@
     }
 
     /// Returns the records of the other instances, dead ones included.
-    pub fn others(&self) -> impl Iterator<Item = &Member> {
-        self.others.values().map(|k| &k.member)
+    pub fn peers(&self) -> impl Iterator<Item = &Member> {
+        self.peers.values().map(|k| &k.member)
     }
 
     /// Returns the records of the other instances that have neither died nor left.
-    pub fn alive(&self) -> impl Iterator<Item = &Member> {
-        self.others.values().filter(|k| !k.is_dead_or_left()).map(|k| &k.member)
+    pub fn live_peers(&self) -> impl Iterator<Item = &Member> {
+        self.peers.values().filter(|k| !k.is_dead_or_left()).map(|k| &k.member)
     }
 
     /// Returns the number of instances that have neither died nor left, including this one.
     #[must_use]
-    pub fn alive_count(&self) -> usize {
-        1 + self.alive().count()
+    pub fn live_count(&self) -> usize {
+        1 + self.live_peers().count()
     }
 
     /// Returns the number of instances that the platform lists, including this one.
@@ -171,8 +172,8 @@
     /// With thousands of members, callers recompute derived state only when the counter has
     /// changed.
     #[must_use]
-    pub fn epoch(&self) -> u64 {
-        self.epoch
+    pub fn change_count(&self) -> u64 {
+        self.change_count
     }
 
     /// Returns the keys of all instances that may hold connections to backend servers.
@@ -180,43 +181,48 @@
     /// An instance counts until it announces that it has left, or until it is dead and no longer
     /// listed by the platform: a paused process answers no probe but still holds its connections.
     #[must_use]
-    pub fn holders(&self) -> std::collections::BTreeSet<u64> {
+    pub fn possible_connection_holders(&self) -> std::collections::BTreeSet<u64> {
         let left =
-            |name: &String| self.others.get(name).is_some_and(|k| k.member.state() == State::Left);
+            |name: &String| self.peers.get(name).is_some_and(|k| k.member.state() == State::Left);
         let listed = self.listed.keys().filter(|name| !left(name));
-        let alive = self.others.iter().filter(|(_, k)| !k.is_dead_or_left()).map(|(name, _)| name);
+        let alive = self.peers.iter().filter(|(_, k)| !k.is_dead_or_left()).map(|(name, _)| name);
         let names = listed.chain(alive).map(|name| rendezvous::hash(name));
         names.chain([self.own.key()]).collect()
     }
 
     /// Replaces the platform's list of instances.
-    pub fn set_listed(&mut self, list: &[Listed]) {
+    pub fn set_listed(&mut self, list: &[ListedInstance]) {
         let others = list.iter().filter(|l| l.name != self.own.name);
         let listed: BTreeMap<_, _> = others.map(|l| (l.name.clone(), l.clone())).collect();
         if listed == self.listed {
             return;
         }
-        self.epoch += 1;
+        self.change_count += 1;
         self.listed = listed;
-        for known in self.others.values_mut() {
+        for known in self.peers.values_mut() {
             known.is_listed = self.listed.contains_key(&known.member.name);
         }
     }
 
     /// Returns and clears the changes recorded since the last call.
-    pub fn take_changes(&mut self) -> Vec<Change> {
+    pub fn take_changes(&mut self) -> Vec<MembershipChange> {
         std::mem::take(&mut self.changes)
     }
 
     /// Processes a datagram; returns the datagrams to send in response.
-    pub fn receive(&mut self, now_ms: u64, from: SocketAddr, datagram: &Datagram) -> Vec<Send> {
+    pub fn receive(
+        &mut self,
+        now_ms: u64,
+        from: SocketAddr,
+        datagram: &Datagram,
+    ) -> Vec<OutgoingDatagram> {
         for member in &datagram.members {
             self.merge_record(member, now_ms, true);
         }
         for &server in &datagram.leaving {
-            self.changes.push(Change::ServerLeaving(server));
+            self.changes.push(MembershipChange::ServerLeaving(server));
         }
-        self.learn_reports(&datagram.reports, now_ms);
+        self.merge_reports(&datagram.reports, now_ms);
         let sends = match datagram.purpose() {
             Purpose::Probe => self.on_probe(from, datagram),
             Purpose::Answer => self.on_answer(from, datagram),
@@ -229,14 +235,14 @@
 
     /// Returns the records of all live instances, including this one.
     #[must_use]
-    pub fn table(&self) -> Vec<Member> {
-        std::iter::once(&self.own).chain(self.alive()).cloned().collect()
+    pub fn live_records(&self) -> Vec<Member> {
+        std::iter::once(&self.own).chain(self.live_peers()).cloned().collect()
     }
 
     /// Merges another instance's table.
     ///
     /// Gossip spreads these records already, so none of them is queued for spreading here.
-    pub fn learn_table(&mut self, table: &[Member], now_ms: u64) {
+    pub fn merge_table(&mut self, table: &[Member], now_ms: u64) {
         for member in table {
             self.merge_record(member, now_ms, false);
         }
@@ -244,8 +250,8 @@
 
     /// Returns the address of a live listed instance, preferring this instance's zone.
     #[must_use]
-    pub fn listed_alive(&self, random: u64) -> Option<SocketAddr> {
-        let listed = self.others.values().filter(|k| k.is_listed && !k.is_dead_or_left());
+    pub fn pick_listed_live(&self, random: u64) -> Option<SocketAddr> {
+        let listed = self.peers.values().filter(|k| k.is_listed && !k.is_dead_or_left());
         let priority = |k: &&PeerRecord| {
             let is_in_other_zone = k.member.zone != self.own.zone;
             (is_in_other_zone, rendezvous::weight(random, k.member.key()))
@@ -258,7 +264,7 @@
             return self.on_own_record(member);
         }
         let Ok(addr) = member.peer_addr.parse() else { return };
-        let known = self.others.get(&member.name);
+        let known = self.peers.get(&member.name);
         if known.is_some_and(|k| k.member.rank() >= member.rank()) {
             return;
         }
@@ -268,11 +274,11 @@
         let is_listed = self.listed.contains_key(&member.name);
         let known = PeerRecord { member: member.clone(), addr, since_ms: now_ms, is_listed };
         if !is_same_state && !is_new {
-            self.changes.push(Change::State(member.name.clone()));
+            self.changes.push(MembershipChange::StateChanged(member.name.clone()));
         }
-        self.epoch += 1;
+        self.change_count += 1;
         self.record_change(&known, was_dead_or_left);
-        self.others.insert(member.name.clone(), known);
+        self.peers.insert(member.name.clone(), known);
         if should_spread {
             let transmits = self.transmit_limit();
             self.enqueue(Update::Member(member.name.clone()), transmits);
@@ -282,10 +288,12 @@
     fn record_change(&mut self, known: &PeerRecord, was_dead_or_left: bool) {
         let name = known.member.name.clone();
         match (known.member.state(), known.member.liveness()) {
-            (State::Left, _) => self.changes.push(Change::Left(name)),
-            (_, Liveness::Dead) => self.changes.push(Change::Died(name)),
-            (_, Liveness::Suspect) => self.changes.push(Change::Suspected(name)),
-            (_, Liveness::Alive) if was_dead_or_left => self.changes.push(Change::Joined(name)),
+            (State::Left, _) => self.changes.push(MembershipChange::Left(name)),
+            (_, Liveness::Dead) => self.changes.push(MembershipChange::DeclaredDead(name)),
+            (_, Liveness::Suspect) => self.changes.push(MembershipChange::Suspected(name)),
+            (_, Liveness::Alive) if was_dead_or_left => {
+                self.changes.push(MembershipChange::Joined(name))
+            }
             (_, Liveness::Alive) => {}
         }
     }
@@ -305,19 +313,19 @@
         let is_suspected = member.liveness() != Liveness::Alive;
         if is_current && member.revision >= self.own.revision && is_suspected {
             self.own.revision = member.revision + 1;
-            self.changes.push(Change::Refuted);
+            self.changes.push(MembershipChange::Refuted);
             self.announce_own();
         }
     }
 
     fn downgrade_liveness(&mut self, name: &str, liveness: Liveness, now_ms: u64) {
-        let Some(known) = self.others.get_mut(name) else { return };
+        let Some(known) = self.peers.get_mut(name) else { return };
         if known.member.liveness >= liveness as i32 {
             return;
         }
         known.member.liveness = liveness as i32;
         known.since_ms = now_ms;
-        self.epoch += 1;
+        self.change_count += 1;
         let known = known.clone();
         self.record_change(&known, false);
         let transmits = self.transmit_limit();
--- a/crates/decide/src/membership/probe.rs
+++ b/crates/decide/src/membership/probe.rs
@@ -4,7 +4,7 @@
 
 use super::spread::GOSSIP_INTERVAL_MS;
 use super::{IndirectProbe, Membership, PeerRecord, Probe};
-use crate::gossip::{Datagram, Liveness, Purpose, Send};
+use crate::gossip::{Datagram, Liveness, OutgoingDatagram, Purpose};
 use crate::rendezvous;
 
 /// Time between probes in milliseconds.
@@ -22,13 +22,13 @@
 
 impl Membership {
     /// Returns a probe for an instance of which only the address is known.
-    pub fn greet(&mut self, to: SocketAddr) -> Send {
+    pub fn probe_address(&mut self, to: SocketAddr) -> OutgoingDatagram {
         let number = self.next_probe_number();
-        Send { to, datagram: self.datagram(Purpose::Probe, number) }
+        OutgoingDatagram { to, datagram: self.datagram(Purpose::Probe, number) }
     }
 
     /// Does the work due at `now_ms`; `random` is a fresh random number.
-    pub fn tick(&mut self, now_ms: u64, random: u64) -> Vec<Send> {
+    pub fn tick(&mut self, now_ms: u64, random: u64) -> Vec<OutgoingDatagram> {
         let mut sends = Vec::new();
         self.indirect_probes.retain(|e| now_ms < e.requested_ms + PROBE_INTERVAL_MS);
         self.request_indirect_probes(now_ms, random, &mut sends);
@@ -60,27 +60,35 @@
             k.member.liveness() == Liveness::Suspect && now_ms >= k.since_ms + SUSPECT_TIMEOUT_MS
         };
         let due: Vec<String> =
-            self.others.values().filter(is_due).map(|k| k.member.name.clone()).collect();
+            self.peers.values().filter(is_due).map(|k| k.member.name.clone()).collect();
         for name in due {
             self.downgrade_liveness(&name, Liveness::Dead, now_ms);
         }
     }
 
     pub(super) fn remove_expired(&mut self, now_ms: u64) {
-        self.others.retain(|_, k| {
+        self.peers.retain(|_, k| {
             k.is_listed || !k.is_dead_or_left() || now_ms < k.since_ms + TOMBSTONE_MS
         });
     }
 
     /// Probes the next instance of a random order, so that each one is probed in turn.
-    pub(super) fn start_probe(&mut self, now_ms: u64, random: u64, sends: &mut Vec<Send>) {
+    pub(super) fn start_probe(
+        &mut self,
+        now_ms: u64,
+        random: u64,
+        sends: &mut Vec<OutgoingDatagram>,
+    ) {
         let is_in_other_zone = self.picks_other_zone(random);
         let next = self.next_target(is_in_other_zone, random);
         let Some(target) = next.or_else(|| self.next_target(!is_in_other_zone, random)) else {
             return;
         };
         let number = self.next_probe_number();
-        sends.push(Send { to: target.addr, datagram: self.datagram(Purpose::Probe, number) });
+        sends.push(OutgoingDatagram {
+            to: target.addr,
+            datagram: self.datagram(Purpose::Probe, number),
+        });
         if !target.is_dead_or_left() {
             let target = target.member.name;
             self.probe =
@@ -99,7 +107,7 @@
         }
         let target = loop {
             let Some(name) = order.pop() else { break None };
-            match self.others.get(&name) {
+            match self.peers.get(&name) {
                 Some(k) if k.is_probe_target() => break Some(k.clone()),
                 _ => {}
             }
@@ -113,21 +121,21 @@
         let is_candidate = |k: &&PeerRecord| {
             k.is_probe_target() && self.is_in_other_zone(&k.member) == is_in_other_zone
         };
-        let candidates = self.others.values().filter(is_candidate);
+        let candidates = self.peers.values().filter(is_candidate);
         let mut order: Vec<String> = candidates.map(|k| k.member.name.clone()).collect();
         order.sort_by_key(|name| rendezvous::weight(random, rendezvous::hash(name)));
         order
     }
 
     /// Probes one listed instance without a record, so that separate groups find each other.
-    pub(super) fn probe_unknown_listed(&mut self, random: u64, sends: &mut Vec<Send>) {
-        let unknown = self.listed.values().filter(|l| !self.others.contains_key(&l.name));
+    pub(super) fn probe_unknown_listed(&mut self, random: u64, sends: &mut Vec<OutgoingDatagram>) {
+        let unknown = self.listed.values().filter(|l| !self.peers.contains_key(&l.name));
         let chosen = unknown
             .min_by_key(|l| rendezvous::weight(random, rendezvous::hash(&l.name)))
             .map(|l| l.peer_addr);
         if let Some(to) = chosen {
             let number = self.next_probe_number();
-            sends.push(Send { to, datagram: self.datagram(Purpose::Probe, number) });
+            sends.push(OutgoingDatagram { to, datagram: self.datagram(Purpose::Probe, number) });
         }
     }
 
@@ -135,7 +143,7 @@
         &mut self,
         now_ms: u64,
         random: u64,
-        sends: &mut Vec<Send>,
+        sends: &mut Vec<OutgoingDatagram>,
     ) {
         let Some(probe) = &mut self.probe else { return };
         if probe.has_indirect_probes || now_ms < probe.sent_ms + DIRECT_TIMEOUT_MS {
@@ -144,7 +152,7 @@
         probe.has_indirect_probes = true;
         let probe = probe.clone();
         let mut probers: Vec<(u64, SocketAddr)> = self
-            .others
+            .peers
             .values()
             .filter(|k| !k.is_dead_or_left() && k.member.name != probe.target)
             .map(|k| (rendezvous::weight(random, k.member.key()), k.addr))
@@ -153,7 +161,7 @@
         for (_, to) in probers.into_iter().take(INDIRECT_PROBERS) {
             let mut datagram = self.datagram(Purpose::ProbeFor, probe.number);
             datagram.target.clone_from(&probe.target);
-            sends.push(Send { to, datagram });
+            sends.push(OutgoingDatagram { to, datagram });
         }
     }
 
@@ -162,8 +170,8 @@
         now_ms: u64,
         requester: SocketAddr,
         datagram: &Datagram,
-    ) -> Vec<Send> {
-        let Some(to) = self.others.get(&datagram.target).map(|k| k.addr) else {
+    ) -> Vec<OutgoingDatagram> {
+        let Some(to) = self.peers.get(&datagram.target).map(|k| k.addr) else {
             return Vec::new();
         };
         let own_number = self.next_probe_number();
@@ -174,18 +182,24 @@
             requester,
             requested_ms: now_ms,
         });
-        vec![Send { to, datagram: self.datagram(Purpose::Probe, own_number) }]
+        vec![OutgoingDatagram { to, datagram: self.datagram(Purpose::Probe, own_number) }]
     }
 
-    pub(super) fn on_probe(&mut self, from: SocketAddr, probe: &Datagram) -> Vec<Send> {
-        let mut sends =
-            vec![Send { to: from, datagram: self.datagram(Purpose::Answer, probe.probe) }];
+    pub(super) fn on_probe(&mut self, from: SocketAddr, probe: &Datagram) -> Vec<OutgoingDatagram> {
+        let mut sends = vec![OutgoingDatagram {
+            to: from,
+            datagram: self.datagram(Purpose::Answer, probe.probe),
+        }];
         sends.extend(self.repair_bucket(from, probe));
         sends.extend(self.repair_reports(from, probe));
         sends
     }
 
-    pub(super) fn on_answer(&mut self, from: SocketAddr, answer: &Datagram) -> Vec<Send> {
+    pub(super) fn on_answer(
+        &mut self,
+        from: SocketAddr,
+        answer: &Datagram,
+    ) -> Vec<OutgoingDatagram> {
         if self.probe.as_ref().is_some_and(|p| p.number == answer.probe) {
             self.probe = None;
         }
@@ -195,7 +209,7 @@
         };
         let indirect = self.indirect_probes.swap_remove(at);
         let datagram = self.datagram(Purpose::Answer, indirect.requester_number);
-        vec![Send { to: indirect.requester, datagram }]
+        vec![OutgoingDatagram { to: indirect.requester, datagram }]
     }
 
     pub(super) fn next_probe_number(&mut self) -> u64 {
--- a/crates/decide/src/membership/reports.rs
+++ b/crates/decide/src/membership/reports.rs
@@ -10,8 +10,8 @@
 use super::spread::MAX_UPDATES;
 use super::{Membership, Update};
 use crate::fingerprint::Fingerprint;
-use crate::gossip::{Change, Datagram, Purpose, Send};
-use crate::quarantine::{Finding, Report};
+use crate::gossip::{Datagram, MembershipChange, OutgoingDatagram, Purpose};
+use crate::quarantine::{EvidenceEffect, Report};
 
 /// Maximum number of report broadcasts per second.
 ///
@@ -43,13 +43,13 @@
     /// Merges reports made by this instance; returns the datagrams that broadcast them.
     ///
     /// Up to `max` other instances receive them at once, `max_other_zone` of them in other zones.
-    pub fn tell_reports(
+    pub fn broadcast_reports(
         &mut self,
         reports: &[Report],
         now_ms: u64,
         (max, max_other_zone): (usize, usize),
         random: u64,
-    ) -> Vec<Send> {
+    ) -> Vec<OutgoingDatagram> {
         let new_reports: Vec<Report> =
             reports.iter().filter(|r| self.merge_report(r, now_ms)).cloned().collect();
         if new_reports.is_empty() || !self.broadcasts.try_acquire(now_ms) {
@@ -60,10 +60,10 @@
     }
 
     /// Merges the reports that another instance sent with its table.
-    pub fn learn_reports(&mut self, reports: &[Report], now_ms: u64) {
+    pub fn merge_reports(&mut self, reports: &[Report], now_ms: u64) {
         for report in reports {
             if self.merge_report(report, now_ms) {
-                self.changes.push(Change::Reported(report.clone()));
+                self.changes.push(MembershipChange::ReportReceived(report.clone()));
             }
         }
     }
@@ -82,7 +82,7 @@
 
     /// Merges a report; queues it for gossip and returns true if it changed anything.
     fn merge_report(&mut self, report: &Report, now_ms: u64) -> bool {
-        let has_changed = self.quarantine.merge(report, now_ms) != Finding::Unchanged;
+        let has_changed = self.quarantine.merge_report(report, now_ms) != EvidenceEffect::Unchanged;
         if has_changed {
             let transmits = self.transmit_limit();
             self.enqueue(Update::Report(Fingerprint(report.fingerprint)), transmits);
@@ -91,7 +91,11 @@
     }
 
     /// Sends all reports to an instance whose digest differs.
-    pub(super) fn repair_reports(&mut self, to: SocketAddr, remote: &Datagram) -> Vec<Send> {
+    pub(super) fn repair_reports(
+        &mut self,
+        to: SocketAddr,
+        remote: &Datagram,
+    ) -> Vec<OutgoingDatagram> {
         let now_ms = self.last_tick_ms;
         let is_same = remote.reports_digest == self.quarantine.digest(now_ms);
         if is_same || self.send_budget_bytes < 0 {
@@ -101,11 +105,14 @@
     }
 }
 
-fn datagrams(to: SocketAddr, reports: &[Report]) -> Vec<Send> {
+fn datagrams(to: SocketAddr, reports: &[Report]) -> Vec<OutgoingDatagram> {
     let datagram = |chunk: &[Report]| Datagram {
         purpose: Purpose::Records as i32,
         reports: chunk.to_vec(),
         ..Datagram::default()
     };
-    reports.chunks(MAX_UPDATES).map(|chunk| Send { to, datagram: datagram(chunk) }).collect()
+    reports
+        .chunks(MAX_UPDATES)
+        .map(|chunk| OutgoingDatagram { to, datagram: datagram(chunk) })
+        .collect()
 }
--- a/crates/decide/src/membership/spread.rs
+++ b/crates/decide/src/membership/spread.rs
@@ -6,7 +6,7 @@
 use prost::Message;
 
 use super::{Membership, PeerRecord, Update};
-use crate::gossip::{Datagram, LeavingServer, Member, Purpose, Send};
+use crate::gossip::{Datagram, LeavingServer, Member, OutgoingDatagram, Purpose};
 use crate::rendezvous;
 use crate::watchers;
 
@@ -47,13 +47,13 @@
     }
 
     /// Deducts the bytes of the given datagrams from the allowance.
-    pub(super) fn charge(&mut self, sends: &[Send]) {
+    pub(super) fn charge(&mut self, sends: &[OutgoingDatagram]) {
         let bytes: usize = sends.iter().map(|s| s.datagram.encoded_len()).sum();
         self.send_budget_bytes -= i64::try_from(bytes).unwrap_or(0);
     }
 
     /// Queues the announcement that a backend server is leaving.
-    pub fn spread_leaving(&mut self, server: LeavingServer) {
+    pub fn announce_server_leaving(&mut self, server: LeavingServer) {
         let transmits = self.transmit_limit();
         self.enqueue(Update::Leaving(server), transmits);
     }
@@ -62,8 +62,13 @@
     ///
     /// Instances of the same zone come first; at most `max_other_zone` are in other zones. Among
     /// these, the fetchers of their zones come first, since they pass updates on within their zone.
-    pub fn farewell(&mut self, max: usize, max_other_zone: usize, random: u64) -> Vec<Send> {
-        let records = |to| Send {
+    pub fn broadcast_own_record(
+        &mut self,
+        max: usize,
+        max_other_zone: usize,
+        random: u64,
+    ) -> Vec<OutgoingDatagram> {
+        let records = |to| OutgoingDatagram {
             to,
             datagram: Datagram {
                 purpose: Purpose::Records as i32,
@@ -82,7 +87,7 @@
         random: u64,
     ) -> Vec<SocketAddr> {
         let alive: Vec<&PeerRecord> =
-            self.others.values().filter(|k| !k.is_dead_or_left()).collect();
+            self.peers.values().filter(|k| !k.is_dead_or_left()).collect();
         let mut max_rank_by_zone: BTreeMap<&str, u64> = BTreeMap::new();
         for known in &alive {
             let rank = max_rank_by_zone.entry(&known.member.zone).or_default();
@@ -116,7 +121,7 @@
     /// carries some across. In an idle fleet of 195 instances such gossip made up 42 of 72 MB of
     /// cross-zone traffic in 48 seconds.
     pub(super) fn picks_other_zone(&self, random: u64) -> bool {
-        let alive = || self.others.values().filter(|k| !k.is_dead_or_left());
+        let alive = || self.peers.values().filter(|k| !k.is_dead_or_left());
         let other_zone = alive().filter(|k| self.is_in_other_zone(&k.member)).count() as u64;
         let same_zone = alive().count() as u64 - other_zone;
         let draw = rendezvous::weight(random, CROSS_ZONE_DRAW_KEY);
@@ -128,16 +133,16 @@
     }
 
     /// Sends queued updates to one other member without waiting for a probe.
-    pub(super) fn send_updates(&mut self, random: u64, sends: &mut Vec<Send>) {
+    pub(super) fn send_updates(&mut self, random: u64, sends: &mut Vec<OutgoingDatagram>) {
         if self.send_budget_bytes < 0 {
             return;
         }
         let is_in_other_zone = self.picks_other_zone(random);
-        let alive = self.others.values().filter(|k| !k.is_dead_or_left());
+        let alive = self.peers.values().filter(|k| !k.is_dead_or_left());
         let candidates = alive.filter(|k| self.is_in_other_zone(&k.member) == is_in_other_zone);
         let chosen = candidates.max_by_key(|k| rendezvous::weight(random, k.member.key()));
         if let Some(to) = chosen.map(|k| k.addr) {
-            sends.push(Send { to, datagram: self.datagram(Purpose::Records, 0) });
+            sends.push(OutgoingDatagram { to, datagram: self.datagram(Purpose::Records, 0) });
         }
     }
 
@@ -147,7 +152,7 @@
     }
 
     pub(super) fn transmit_limit(&self) -> u32 {
-        TRANSMITS_PER_LOG * (self.others.len() as u64 + 2).ilog2().max(1)
+        TRANSMITS_PER_LOG * (self.peers.len() as u64 + 2).ilog2().max(1)
     }
 
     /// Puts an update at the front of the queue, so that new updates are sent before older ones.
@@ -157,7 +162,11 @@
     }
 
     /// Sends the records of a bucket whose digests differ.
-    pub(super) fn repair_bucket(&mut self, to: SocketAddr, probe: &Datagram) -> Vec<Send> {
+    pub(super) fn repair_bucket(
+        &mut self,
+        to: SocketAddr,
+        probe: &Datagram,
+    ) -> Vec<OutgoingDatagram> {
         if self.send_budget_bytes < 0 {
             return Vec::new();
         }
@@ -173,12 +182,12 @@
                 members: chunk.to_vec(),
                 ..Datagram::default()
             })
-            .map(|datagram| Send { to, datagram })
+            .map(|datagram| OutgoingDatagram { to, datagram })
             .collect()
     }
 
     pub(super) fn in_bucket(&self, bucket: u64, buckets: u64) -> impl Iterator<Item = &Member> {
-        let all = std::iter::once(&self.own).chain(self.others());
+        let all = std::iter::once(&self.own).chain(self.peers());
         all.filter(move |m| m.key() % buckets == bucket)
     }
 
@@ -200,7 +209,7 @@
             let Some((update, remaining)) = self.queue.pop_front() else { break };
             match &update {
                 Update::Member(name) => {
-                    members.extend(self.others.get(name).map(|k| k.member.clone()));
+                    members.extend(self.peers.get(name).map(|k| k.member.clone()));
                 }
                 Update::Leaving(server) => leaving.push(*server),
                 Update::Report(request) => reports.extend(self.quarantine.report(*request, now_ms)),
@@ -209,7 +218,7 @@
                 self.queue.push_back((update, remaining - 1));
             }
         }
-        let buckets = (self.others.len() / RECORDS_PER_BUCKET + 1) as u64;
+        let buckets = (self.peers.len() / RECORDS_PER_BUCKET + 1) as u64;
         self.next_bucket = (self.next_bucket + 1) % buckets;
         Datagram {
             purpose: purpose as i32,
--- a/crates/decide/src/mirror.rs
+++ b/crates/decide/src/mirror.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 
-pub use crate::applied::{Applied, Effect, Note};
+pub use crate::applied::{ApplyResult, Deviation, Effect};
 pub use crate::changes::{Changes, Deleted, Versioned};
 use crate::history::{Position, VersionStamp};
 
@@ -27,13 +27,13 @@
 
 /// Handling of objects after a restore, until their writers have written again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Settling {
+pub struct RestorePolicy {
     /// Retention of objects that the store lacks.
     pub retention: Retention,
     /// Time in milliseconds for which objects that a restore brought back are withheld.
     ///
     /// Within it, the store removes the objects of writers that are gone.
-    pub doubt_ms: u64,
+    pub withhold_ms: u64,
 }
 
 #[derive(Debug, Clone)]
@@ -47,7 +47,7 @@
 /// Local mirror of one kind of the store's objects.
 #[derive(Debug, Clone)]
 pub struct Mirror {
-    policy: Settling,
+    policy: RestorePolicy,
     objects: BTreeMap<String, CachedObject>,
     tombstones: BTreeMap<String, VersionStamp>,
     /// Objects that a restored store brought back after their deletion.
@@ -59,7 +59,7 @@
     /// Position of the full list with which the mirror entered the current era.
     era_entered_at: Position,
     /// True once a full list was applied.
-    is_filled: bool,
+    has_full_list: bool,
     /// Time in milliseconds until which objects of earlier eras are retained.
     ///
     /// `None` after it, and with [`Retention::Always`].
@@ -71,7 +71,7 @@
 impl Mirror {
     /// Creates an empty mirror.
     #[must_use]
-    pub fn new(policy: Settling) -> Self {
+    pub fn new(policy: RestorePolicy) -> Self {
         Self {
             policy,
             objects: BTreeMap::new(),
@@ -80,7 +80,7 @@
             tombstone_horizon: 0,
             position: Position::default(),
             era_entered_at: Position::default(),
-            is_filled: false,
+            has_full_list: false,
             retained_until_ms: None,
             withheld_until_ms: None,
         }
@@ -88,8 +88,8 @@
 
     /// Returns true once a full list was applied.
     #[must_use]
-    pub fn is_filled(&self) -> bool {
-        self.is_filled
+    pub fn has_full_list(&self) -> bool {
+        self.has_full_list
     }
 
     /// Returns the position up to which the mirror is complete.
@@ -100,7 +100,7 @@
 
     /// Returns the number of objects retained without the store having them, plus those withheld.
     #[must_use]
-    pub fn unsettled(&self) -> usize {
+    pub fn unsettled_count(&self) -> usize {
         self.objects.values().filter(|known| known.is_missing).count() + self.withheld.len()
     }
 
@@ -108,8 +108,8 @@
     ///
     /// A later era is entered only by a full list. Changes relative to a position of an earlier era
     /// may be incomplete, since the store assigns its revisions again.
-    pub fn apply(&mut self, changes: &Changes, now_ms: u64) -> Applied {
-        let mut applied = Applied::default();
+    pub fn apply(&mut self, changes: &Changes, now_ms: u64) -> ApplyResult {
+        let mut applied = ApplyResult::default();
         if changes.era < self.position.era {
             self.apply_newer_editions(changes, &mut applied);
             return applied;
@@ -147,7 +147,7 @@
         self.era_entered_at = changes.position();
         self.tombstone_horizon = changes.as_of;
         self.withheld.clear();
-        self.withheld_until_ms = Some(now_ms + self.policy.doubt_ms);
+        self.withheld_until_ms = Some(now_ms + self.policy.withhold_ms);
         self.retained_until_ms = match self.policy.retention {
             Retention::Always => None,
             Retention::ForMs(retention_ms) => Some(now_ms + retention_ms),
@@ -157,7 +157,7 @@
     /// Applies newer versions from an instance that does not know of the restore yet.
     ///
     /// It may be the only one left with the latest content.
-    fn apply_newer_editions(&mut self, changes: &Changes, applied: &mut Applied) {
+    fn apply_newer_editions(&mut self, changes: &Changes, applied: &mut ApplyResult) {
         if self.policy.retention != Retention::Always {
             return;
         }
@@ -169,33 +169,34 @@
         }
     }
 
-    fn apply_object(&mut self, object: &Versioned, now_ms: u64, applied: &mut Applied) {
+    fn apply_object(&mut self, object: &Versioned, now_ms: u64, applied: &mut ApplyResult) {
         let stamp = object.stamp();
-        if stamp.at.era < self.position.era && !self.retains_earlier_eras(now_ms) {
+        if stamp.position.era < self.position.era && !self.retains_earlier_eras(now_ms) {
             return;
         }
         if let Some(known) = self.objects.get_mut(&object.name)
             && !stamp.replaces(&known.stamp)
         {
-            if stamp.at.era == self.position.era {
+            if stamp.position.era == self.position.era {
                 // The store has an older version of the object, so the object is not missing.
                 applied.confirms_earlier |= std::mem::take(&mut known.is_missing);
             } else if stamp == known.stamp {
                 known.is_missing |= object.is_missing;
             }
             if known.stamp.replaces(&stamp) {
-                applied.record_left_out(object, known.stamp);
+                applied.record_ignored(object, known.stamp);
             }
             return;
         }
         if let Some(&deletion) = self.tombstones.get(&object.name) {
             let stamp = self.confirmed_stamp(stamp, object.is_missing);
-            if stamp.is_resurrected_after(&deletion) && self.is_unconfirmed(stamp.at, now_ms) {
+            if stamp.is_resurrected_after(&deletion) && self.is_unconfirmed(stamp.position, now_ms)
+            {
                 self.withhold(object.clone());
-                return applied.notes.push(Note::Doubted(object.name.clone()));
+                return applied.deviations.push(Deviation::Withheld(object.name.clone()));
             }
-            if deletion.at >= stamp.at {
-                return applied.record_left_out(object, deletion);
+            if deletion.position >= stamp.position {
+                return applied.record_ignored(object, deletion);
             }
         }
         self.insert(object, applied);
@@ -207,9 +208,9 @@
         is_always || self.retained_until_ms.is_some_and(|until_ms| now_ms < until_ms)
     }
 
-    /// True if a change at `at` came with the restored list and its writer may be gone.
-    fn is_unconfirmed(&self, at: Position, now_ms: u64) -> bool {
-        at <= self.era_entered_at
+    /// True if a change at `position` came with the restored list and its writer may be gone.
+    fn is_unconfirmed(&self, position: Position, now_ms: u64) -> bool {
+        position <= self.era_entered_at
             && self.withheld_until_ms.is_some_and(|until_ms| now_ms < until_ms)
     }
 
@@ -218,11 +219,11 @@
     /// Objects that the store lacks keep their position.
     fn confirmed_stamp(
         &self,
-        VersionStamp { at, edition }: VersionStamp,
+        VersionStamp { position, edition }: VersionStamp,
         is_missing: bool,
     ) -> VersionStamp {
         let start = Position { era: self.position.era, revision: 0 };
-        VersionStamp { at: if is_missing { at } else { at.max(start) }, edition }
+        VersionStamp { position: if is_missing { position } else { position.max(start) }, edition }
     }
 
     /// Withholds an object if the store has it.
@@ -232,14 +233,15 @@
         }
     }
 
-    fn insert(&mut self, object: &Versioned, applied: &mut Applied) {
+    fn insert(&mut self, object: &Versioned, applied: &mut ApplyResult) {
         let name = &object.name;
         self.tombstones.remove(name);
         self.withheld.remove(name);
         let content = object.content.clone();
         let known = CachedObject { stamp: object.stamp(), content, is_missing: object.is_missing };
         let previous = self.objects.insert(name.clone(), known);
-        applied.confirms_earlier |= previous.as_ref().is_some_and(|b| b.stamp.at.era < object.era);
+        applied.confirms_earlier |=
+            previous.as_ref().is_some_and(|b| b.stamp.position.era < object.era);
         if previous.is_none_or(|previous| previous.content != object.content) {
             applied.effects.push(Effect::Set(name.clone(), object.content.clone()));
         }
@@ -250,89 +252,99 @@
         name: &str,
         deletion: VersionStamp,
         now_ms: u64,
-        applied: &mut Applied,
+        applied: &mut ApplyResult,
     ) {
         if let Some(known) = self.objects.get(name) {
             let stamp = self.confirmed_stamp(known.stamp, known.is_missing);
-            if stamp.is_resurrected_after(&deletion) && self.is_unconfirmed(stamp.at, now_ms) {
+            if stamp.is_resurrected_after(&deletion) && self.is_unconfirmed(stamp.position, now_ms)
+            {
                 self.withhold(to_versioned(name, known));
                 self.objects.remove(name);
                 self.tombstones.insert(name.to_owned(), deletion);
-                return applied.effects.push(Effect::Gone(name.to_owned()));
+                return applied.effects.push(Effect::Removed(name.to_owned()));
             }
-            if stamp.at > deletion.at {
+            if stamp.position > deletion.position {
                 return;
             }
         }
-        if deletion.at.era == self.position.era {
+        if deletion.position.era == self.position.era {
             self.withheld.remove(name);
         }
         let removed = self.objects.remove(name);
         let previous = self.tombstones.get(name).copied();
         applied.confirms_earlier |=
-            previous.is_some_and(|previous| previous.at.era < deletion.at.era);
+            previous.is_some_and(|previous| previous.position.era < deletion.position.era);
         // Deletions of unknown objects have an effect, too. Another instance may have read the
         // store between creation and deletion; it learns of the deletion only from this instance
         // and would otherwise keep the object until its next poll.
         if removed.is_some() || previous.is_none() {
-            applied.effects.push(Effect::Gone(name.to_owned()));
+            applied.effects.push(Effect::Removed(name.to_owned()));
         }
         let removed = removed.and_then(|known| known.stamp.edition);
         let edition =
             deletion.edition.max(removed).max(previous.and_then(|previous| previous.edition));
-        let at = previous.map_or(deletion.at, |previous| previous.at.max(deletion.at));
-        self.insert_tombstone(name, VersionStamp { at, edition });
+        let position =
+            previous.map_or(deletion.position, |previous| previous.position.max(deletion.position));
+        self.insert_tombstone(name, VersionStamp { position, edition });
     }
 
     fn insert_tombstone(&mut self, name: &str, deletion: VersionStamp) {
         self.tombstones.insert(name.to_owned(), deletion);
         if self.tombstones.len() > MAX_TOMBSTONES {
-            let oldest = self.tombstones.iter().min_by_key(|(_, deletion)| deletion.at);
-            if let Some((name, at)) = oldest.map(|(name, deletion)| (name.clone(), deletion.at)) {
-                if at.era == self.position.era {
-                    self.tombstone_horizon = self.tombstone_horizon.max(at.revision);
+            let oldest = self.tombstones.iter().min_by_key(|(_, deletion)| deletion.position);
+            if let Some((name, position)) =
+                oldest.map(|(name, deletion)| (name.clone(), deletion.position))
+            {
+                if position.era == self.position.era {
+                    self.tombstone_horizon = self.tombstone_horizon.max(position.revision);
                 }
                 self.tombstones.remove(&name);
             }
         }
     }
 
-    fn delete_unlisted(&mut self, changes: &Changes, now_ms: u64, applied: &mut Applied) {
+    fn delete_unlisted(&mut self, changes: &Changes, now_ms: u64, applied: &mut ApplyResult) {
         let listed = changes.objects.iter().filter(|object| !object.is_missing);
         let listed: BTreeSet<&str> = listed.map(|object| object.name.as_str()).collect();
         let as_of = changes.position();
         let retains_earlier_eras = self.retains_earlier_eras(now_ms);
         let mut deleted = Vec::new();
         for (name, known) in &mut self.objects {
-            if listed.contains(name.as_str()) || known.stamp.at > as_of {
+            if listed.contains(name.as_str()) || known.stamp.position > as_of {
                 continue;
             }
-            if known.stamp.at.era == changes.era || !retains_earlier_eras {
+            if known.stamp.position.era == changes.era || !retains_earlier_eras {
                 deleted.push(name.clone());
             } else if !known.is_missing {
                 known.is_missing = true;
-                applied.notes.push(Note::Kept(name.clone()));
+                applied.deviations.push(Deviation::Retained(name.clone()));
             }
         }
-        self.withheld
-            .retain(|name, object| listed.contains(name.as_str()) || object.stamp().at > as_of);
+        self.withheld.retain(|name, object| {
+            listed.contains(name.as_str()) || object.stamp().position > as_of
+        });
         for name in deleted {
-            self.apply_deletion(&name, VersionStamp { at: as_of, edition: None }, now_ms, applied);
+            self.apply_deletion(
+                &name,
+                VersionStamp { position: as_of, edition: None },
+                now_ms,
+                applied,
+            );
         }
-        if !self.is_filled {
-            self.is_filled = true;
+        if !self.has_full_list {
+            self.has_full_list = true;
             self.tombstone_horizon = changes.as_of;
         }
     }
 
     /// Ends retention and withholding when their times are over; returns the effects.
-    pub fn expire(&mut self, now_ms: u64) -> Applied {
-        let mut applied = Applied::default();
+    pub fn expire(&mut self, now_ms: u64) -> ApplyResult {
+        let mut applied = ApplyResult::default();
         if self.retained_until_ms.is_some_and(|until_ms| now_ms >= until_ms) {
             self.retained_until_ms = None;
             let missing = self.objects.iter().filter(|(_, known)| known.is_missing);
             let missing: Vec<String> = missing.map(|(name, _)| name.clone()).collect();
-            let deletion = VersionStamp { at: self.position, edition: None };
+            let deletion = VersionStamp { position: self.position, edition: None };
             for name in missing {
                 self.apply_deletion(&name, deletion, now_ms, &mut applied);
             }
@@ -354,18 +366,18 @@
     fn move_to_current_era(&mut self) {
         let era = self.position.era;
         let start = Position { era, revision: 0 };
-        let earlier = self.tombstones.values_mut().filter(|deletion| deletion.at.era < era);
-        earlier.for_each(|deletion| deletion.at = start);
+        let earlier = self.tombstones.values_mut().filter(|deletion| deletion.position.era < era);
+        earlier.for_each(|deletion| deletion.position = start);
         if self.policy.retention == Retention::Always {
             return;
         }
-        let known = self.objects.values_mut().map(|known| &mut known.stamp.at);
-        known.filter(|at| at.era < era).for_each(|at| *at = start);
+        let known = self.objects.values_mut().map(|known| &mut known.stamp.position);
+        known.filter(|position| position.era < era).for_each(|position| *position = start);
     }
 
     /// Returns the changes that an instance lacks which has seen everything up to `position`.
     #[must_use]
-    pub fn since(&self, position: Position) -> Changes {
+    pub fn changes_since(&self, position: Position) -> Changes {
         let Position { era, revision } = self.position;
         let is_ahead = position.era > era;
         let is_whole =
@@ -376,13 +388,13 @@
         let is_included = |at: Position| {
             !sends_nothing && (is_whole || is_ahead || at.era < era || at > position)
         };
-        let known = self.objects.iter().filter(|(_, known)| is_included(known.stamp.at));
+        let known = self.objects.iter().filter(|(_, known)| is_included(known.stamp.position));
         let known = known.map(|(name, known)| to_versioned(name, known));
         let withheld =
-            self.withheld.values().filter(|object| is_included(object.stamp().at)).cloned();
-        let deleted = self.tombstones.iter().filter(|(_, deletion)| is_included(deletion.at));
+            self.withheld.values().filter(|object| is_included(object.stamp().position)).cloned();
+        let deleted = self.tombstones.iter().filter(|(_, deletion)| is_included(deletion.position));
         let to_deleted = |(name, deletion): (&String, &VersionStamp)| {
-            let VersionStamp { at: Position { era, revision }, edition } = *deletion;
+            let VersionStamp { position: Position { era, revision }, edition } = *deletion;
             Deleted { name: name.clone(), revision, era, edition }
         };
         Changes {
@@ -396,8 +408,9 @@
 }
 
 fn to_versioned(name: &str, known: &CachedObject) -> Versioned {
-    let CachedObject { stamp: VersionStamp { at: Position { era, revision }, edition }, .. } =
-        *known;
+    let CachedObject {
+        stamp: VersionStamp { position: Position { era, revision }, edition }, ..
+    } = *known;
     let content = known.content.clone();
     let is_missing = known.is_missing;
     Versioned { name: name.to_owned(), revision, content, era, edition, is_missing }
--- a/crates/decide/src/patience.rs
+++ b/crates/decide/src/patience.rs
@@ -26,7 +26,7 @@
 ///
 /// `capacity_milli` is the CPU capacity of the instance, in thousandths of a core.
 #[must_use]
-pub fn margin_ms(target_latency_ms: u64, capacity_milli: u32) -> u64 {
+pub fn delivery_margin_ms(target_latency_ms: u64, capacity_milli: u32) -> u64 {
     let work_ms = DELIVERY_CPU_US / u64::from(capacity_milli.max(1));
     let reserve_ms = target_latency_ms / RESERVE_DIVISOR;
     (ROUND_TRIP_MS + reserve_ms + work_ms).min(target_latency_ms / MAX_MARGIN_DIVISOR)
@@ -41,7 +41,7 @@
 /// case, and the retry gets the full target like a new request. An immediate partial answer would
 /// miss more shards and be just as late.
 #[must_use]
-pub fn time_ms(target_latency_ms: u64, spent_ms: u64) -> u64 {
+pub fn effective_target_ms(target_latency_ms: u64, spent_ms: u64) -> u64 {
     let remaining_ms = target_latency_ms.saturating_sub(spent_ms);
     if remaining_ms < target_latency_ms / MIN_REMAINING_DIVISOR {
         target_latency_ms
@@ -52,11 +52,11 @@
 
 /// State of one merged answer in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Gathering {
+pub struct GatherState {
     /// Number of shards of the route.
-    pub total: usize,
+    pub shard_count: usize,
     /// Minimum number of shards for a successful answer.
-    pub least: usize,
+    pub min_covered: usize,
     /// Number of shards whose parts have arrived.
     pub covered: usize,
     /// Number of shards whose parts can no longer arrive.
@@ -64,36 +64,44 @@
     /// Time at which the answer must be sent to be in time, in milliseconds.
     pub target_at_ms: u64,
     /// Time at which the caller's time limit ends, in milliseconds.
-    pub limit_at_ms: u64,
+    pub deadline_at_ms: u64,
 }
 
 /// Next step for an answer in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum WaitDecision {
     /// Send the answer with the parts that have arrived.
     Answer,
     /// Fail: a successful answer is no longer possible.
-    GiveUp,
+    Fail,
     /// Wait until this time at the latest, in milliseconds, and then decide again.
     WaitUntil(u64),
 }
 
-impl Gathering {
+impl GatherState {
     /// Returns the next step at `now_ms`.
     #[must_use]
-    pub fn next(&self, now_ms: u64) -> Next {
-        if self.covered + self.failed >= self.total {
-            return if self.covered >= self.least { Next::Answer } else { Next::GiveUp };
+    pub fn decide(&self, now_ms: u64) -> WaitDecision {
+        if self.covered + self.failed >= self.shard_count {
+            return if self.covered >= self.min_covered {
+                WaitDecision::Answer
+            } else {
+                WaitDecision::Fail
+            };
         }
-        if self.total - self.failed < self.least || now_ms >= self.limit_at_ms {
-            return if self.covered >= self.least { Next::Answer } else { Next::GiveUp };
+        if self.shard_count - self.failed < self.min_covered || now_ms >= self.deadline_at_ms {
+            return if self.covered >= self.min_covered {
+                WaitDecision::Answer
+            } else {
+                WaitDecision::Fail
+            };
         }
         if now_ms < self.target_at_ms {
-            return Next::WaitUntil(self.target_at_ms.min(self.limit_at_ms));
+            return WaitDecision::WaitUntil(self.target_at_ms.min(self.deadline_at_ms));
         }
-        if self.covered >= self.least {
-            return Next::Answer;
+        if self.covered >= self.min_covered {
+            return WaitDecision::Answer;
         }
-        Next::WaitUntil(self.limit_at_ms)
+        WaitDecision::WaitUntil(self.deadline_at_ms)
     }
 }
--- a/crates/decide/src/prelude.rs
+++ b/crates/decide/src/prelude.rs
@@ -5,7 +5,7 @@
 
 /// Version of the operators' configuration, as numbered by the platform.
 ///
-/// It includes the platform's era; see [`crate::history::Position::to_number`].
+/// It includes the platform's era; see [`crate::history::Position::to_packed`].
 pub type ConfigVersion = u64;
 
 /// Version of an index, as numbered by the backend servers.
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -14,7 +14,7 @@
 use std::collections::HashMap;
 
 use crate::fingerprint::Fingerprint;
-use crate::losses::Ended;
+use crate::losses::CrashedSend;
 use crate::rendezvous;
 
 /// Number of replica crashes after which a request is tried on one replica at a time.
@@ -61,9 +61,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Treatment {
     /// Sent normally; there is not enough evidence against it.
-    Usual,
+    Normal,
     /// Sent to one replica at a time until one answers.
-    OneByOne,
+    OneReplicaAtATime,
     /// Refused for this time, in milliseconds.
     Refused(u64),
 }
@@ -102,11 +102,11 @@
 
 /// Effect of new evidence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Finding {
+pub enum EvidenceEffect {
     /// No change.
     Unchanged,
     /// Evidence was added, but the treatment is the same.
-    Noted,
+    Recorded,
     /// The request is tried on one replica at a time from now on.
     Suspected,
     /// The request is refused from now on.
@@ -148,13 +148,13 @@
 
     fn treatment(&self, now_ms: u64) -> Treatment {
         if self.is_cleared() || now_ms >= self.expires_at_ms {
-            Treatment::Usual
+            Treatment::Normal
         } else if now_ms < self.refused_until_ms {
             Treatment::Refused(self.refused_until_ms - now_ms)
         } else if self.is_suspect() {
-            Treatment::OneByOne
+            Treatment::OneReplicaAtATime
         } else {
-            Treatment::Usual
+            Treatment::Normal
         }
     }
 
@@ -202,45 +202,45 @@
     #[must_use]
     pub fn treatment(&self, fingerprint: Fingerprint, now_ms: u64) -> Treatment {
         let record = self.records.get(&fingerprint);
-        record.map_or(Treatment::Usual, |r| r.treatment(now_ms))
+        record.map_or(Treatment::Normal, |r| r.treatment(now_ms))
     }
 
     /// Records that a replica crashed while it ran a request that had no answer yet.
-    pub fn note_ended(&mut self, ended: Ended, now_ms: u64) -> Finding {
-        let Ended { request, send, is_alone } = ended;
+    pub fn record_crash(&mut self, ended: CrashedSend, now_ms: u64) -> EvidenceEffect {
+        let CrashedSend { request, send_id, is_isolated } = ended;
         self.update(request, now_ms, |record| {
             if record.is_cleared() {
                 // A crash after an answer: start over with new evidence.
                 *record = Record::default();
             }
-            let is_new = add_send(&mut record.ended, send);
-            let is_new_alone = is_alone && add_send(&mut record.ended_alone, send);
-            record.refuse_if_proven(is_new_alone, now_ms);
+            let is_new = add_send(&mut record.ended, send_id);
+            let is_new_isolated = is_isolated && add_send(&mut record.ended_alone, send_id);
+            record.refuse_if_proven(is_new_isolated, now_ms);
             record.extend_retention(now_ms);
-            is_new || is_new_alone
+            is_new || is_new_isolated
         })
     }
 
     /// Records that a replica answered a request, which shows that it does not crash replicas.
-    pub fn note_answered(&mut self, fingerprint: Fingerprint, now_ms: u64) -> Finding {
+    pub fn record_answer(&mut self, fingerprint: Fingerprint, now_ms: u64) -> EvidenceEffect {
         match self.records.get(&fingerprint) {
-            None => Finding::Unchanged,
+            None => EvidenceEffect::Unchanged,
             Some(_) => self.update(fingerprint, now_ms, |record| clear(record, now_ms)),
         }
     }
 
     /// Merges a report from another instance.
-    pub fn merge(&mut self, report: &Report, now_ms: u64) -> Finding {
+    pub fn merge_report(&mut self, report: &Report, now_ms: u64) -> EvidenceEffect {
         let fingerprint = Fingerprint(report.fingerprint);
         let is_known = self.records.contains_key(&fingerprint);
         if report.is_cleared {
             if !is_known {
-                return Finding::Unchanged;
+                return EvidenceEffect::Unchanged;
             }
             return self.update(fingerprint, now_ms, |record| clear(record, now_ms));
         }
         if report.left_ms == 0 || (report.ended.is_empty() && report.refused_ms == 0) {
-            return Finding::Unchanged;
+            return EvidenceEffect::Unchanged;
         }
         self.update(fingerprint, now_ms, |record| merge_into(record, report, now_ms))
     }
@@ -274,7 +274,7 @@
     /// Returns the requests that are not sent normally, for instances that start.
     #[must_use]
     pub fn reports(&self, now_ms: u64) -> Vec<Report> {
-        let wanted = self.records.iter().filter(|(_, r)| r.treatment(now_ms) != Treatment::Usual);
+        let wanted = self.records.iter().filter(|(_, r)| r.treatment(now_ms) != Treatment::Normal);
         wanted.map(|(fingerprint, record)| record.report(*fingerprint, now_ms)).collect()
     }
 
@@ -284,8 +284,8 @@
     #[must_use]
     pub fn digest(&self, now_ms: u64) -> u64 {
         let one = |(fingerprint, record): (&Fingerprint, &Record)| match record.treatment(now_ms) {
-            Treatment::Usual => 0,
-            Treatment::OneByOne => rendezvous::weight(fingerprint.0, 0),
+            Treatment::Normal => 0,
+            Treatment::OneReplicaAtATime => rendezvous::weight(fingerprint.0, 0),
             Treatment::Refused(_) => rendezvous::weight(fingerprint.0, 1),
         };
         self.records.iter().fold(0, |digest, record| digest ^ one(record))
@@ -309,19 +309,19 @@
         fingerprint: Fingerprint,
         now_ms: u64,
         change: impl FnOnce(&mut Record) -> bool,
-    ) -> Finding {
+    ) -> EvidenceEffect {
         self.make_room(fingerprint, now_ms);
         let record = self.records.entry(fingerprint).or_default();
         let before = record.treatment(now_ms);
         let has_changed = change(record);
         let after = record.treatment(now_ms);
         match (before, after) {
-            _ if !has_changed => Finding::Unchanged,
-            (Treatment::Refused(_), Treatment::Refused(_)) => Finding::Noted,
-            (_, Treatment::Refused(_)) => Finding::Refused,
-            (Treatment::Usual, Treatment::OneByOne) => Finding::Suspected,
-            _ if record.is_cleared() => Finding::Cleared,
-            _ => Finding::Noted,
+            _ if !has_changed => EvidenceEffect::Unchanged,
+            (Treatment::Refused(_), Treatment::Refused(_)) => EvidenceEffect::Recorded,
+            (_, Treatment::Refused(_)) => EvidenceEffect::Refused,
+            (Treatment::Normal, Treatment::OneReplicaAtATime) => EvidenceEffect::Suspected,
+            _ if record.is_cleared() => EvidenceEffect::Cleared,
+            _ => EvidenceEffect::Recorded,
         }
     }
 
--- a/crates/decide/src/share.rs
+++ b/crates/decide/src/share.rs
@@ -16,11 +16,11 @@
 use crate::rendezvous;
 
 /// Members that share the connections, by the hash of their identity.
-pub type Members = BTreeSet<u64>;
+pub type MemberKeys = BTreeSet<u64>;
 
 /// Returns the hash of a member list that is announced to the other instances.
 #[must_use]
-pub fn digest(members: &Members) -> u64 {
+pub fn digest(members: &MemberKeys) -> u64 {
     members.iter().fold(0x9e37_79b9, |acc, &m| rendezvous::weight(acc, m))
 }
 
@@ -31,7 +31,7 @@
 /// connections, the first `limit` members in rendezvous order hold one each: the replica is in
 /// their slice.
 #[must_use]
-pub fn connections(members: &[u64], member: u64, replica: u64, limit: u32) -> u32 {
+pub fn share_of(members: &[u64], member: u64, replica: u64, limit: u32) -> u32 {
     if !members.contains(&member) {
         return 0;
     }
@@ -47,7 +47,7 @@
 pub struct Agreement {
     own: u64,
     /// Lists that limit the share of this instance; the last one is current.
-    lists: Vec<Members>,
+    lists: Vec<MemberKeys>,
     /// True if a list has been agreed on; false for a starting instance.
     has_agreed: bool,
     /// Last digest announced by each other member.
@@ -62,7 +62,7 @@
     }
 
     /// Sets the current member list; returns true if it changed.
-    pub fn set_members(&mut self, members: &Members) -> bool {
+    pub fn set_members(&mut self, members: &MemberKeys) -> bool {
         if self.lists.last() == Some(members) {
             return false;
         }
@@ -75,7 +75,7 @@
     /// Records the digest that another member announced for its list.
     ///
     /// Returns true if the share of this instance may have grown.
-    pub fn heard(&mut self, member: u64, digest: u64) -> bool {
+    pub fn on_announcement(&mut self, member: u64, digest: u64) -> bool {
         if member == self.own {
             return false;
         }
@@ -97,13 +97,13 @@
 
     /// Returns the members of the current list in order.
     #[must_use]
-    pub fn current(&self) -> Vec<u64> {
+    pub fn current_members(&self) -> Vec<u64> {
         self.lists.last().map(|m| m.iter().copied().collect()).unwrap_or_default()
     }
 
     /// Returns the lists that limit the share; empty while this instance may hold no connections.
     #[must_use]
-    pub fn bounds(&self) -> Vec<Vec<u64>> {
+    pub fn bounding_lists(&self) -> Vec<Vec<u64>> {
         if !self.has_agreed {
             return Vec::new();
         }
@@ -113,7 +113,7 @@
     /// Returns the number of connections that this instance may hold to a replica now.
     #[must_use]
     pub fn share(&self, replica: u64, limit: u32) -> u32 {
-        share_within(&self.bounds(), self.own, replica, limit)
+        min_share(&self.bounding_lists(), self.own, replica, limit)
     }
 
     fn try_agree(&mut self) -> bool {
@@ -133,6 +133,6 @@
 
 /// Returns the minimum share over all `bounds`; 0 if there are none.
 #[must_use]
-pub fn share_within(bounds: &[Vec<u64>], own: u64, replica: u64, limit: u32) -> u32 {
-    bounds.iter().map(|list| connections(list, own, replica, limit)).min().unwrap_or(0)
+pub fn min_share(bounds: &[Vec<u64>], own: u64, replica: u64, limit: u32) -> u32 {
+    bounds.iter().map(|list| share_of(list, own, replica, limit)).min().unwrap_or(0)
 }
--- a/crates/decide/src/standing.rs
+++ b/crates/decide/src/standing.rs
@@ -55,7 +55,7 @@
 
 /// State of a replica as reported by another instance.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Told {
+pub struct ReplicaReport {
     /// Number of requests that the replica runs or has queued.
     pub load: u32,
     /// Latency relative to the usual latency.
@@ -72,7 +72,7 @@
 
 /// Latency, load and failure state of one replica.
 #[derive(Debug, Clone)]
-pub struct Standing {
+pub struct ReplicaStats {
     /// EWMA of the latency relative to the usual latency of the same requests.
     ratio: f64,
     ratio_at_ms: u64,
@@ -94,7 +94,7 @@
     is_replaced: bool,
 }
 
-impl Default for Standing {
+impl Default for ReplicaStats {
     fn default() -> Self {
         Self {
             ratio: 1.0,
@@ -115,32 +115,32 @@
     }
 }
 
-impl Standing {
+impl ReplicaStats {
     /// Records a sent request with an expected latency of `expected_ms`.
-    pub fn sent(&mut self, now_ms: u64, expected_ms: f64) {
+    pub fn record_sent(&mut self, now_ms: u64, expected_ms: f64) {
         self.in_progress.push(PendingRequest { sent_at_ms: now_ms, expected_ms });
     }
 
     /// Records a sent request that takes `work_ms` if the queue is empty.
     ///
     /// Returns the expected latency in milliseconds, at usual speed and with this replica's queue.
-    pub fn sent_work(&mut self, work_ms: f64, slots: u32, now_ms: u64) -> f64 {
-        let expected_ms = work_ms + self.wait_ms(work_ms, slots, now_ms);
-        self.sent(now_ms, expected_ms);
+    pub fn record_sent_work(&mut self, work_ms: f64, slots: u32, now_ms: u64) -> f64 {
+        let expected_ms = work_ms + self.expected_wait_ms(work_ms, slots, now_ms);
+        self.record_sent(now_ms, expected_ms);
         let previous_ms = if self.work_ms > 0.0 { self.work_ms } else { work_ms };
         self.work_ms = previous_ms + (work_ms - previous_ms) / WORK_EWMA_DIVISOR;
         expected_ms
     }
 
     /// Records the end of the request sent at `sent_at_ms`, with any outcome.
-    pub fn ended(&mut self, sent_at_ms: u64) {
+    pub fn record_end(&mut self, sent_at_ms: u64) {
         if let Some(i) = self.in_progress.iter().position(|s| s.sent_at_ms == sent_at_ms) {
             self.in_progress.swap_remove(i);
         }
     }
 
     /// Records an answer that took `took_ms` where `expected_ms` was expected.
-    pub fn answered(&mut self, took_ms: f64, expected_ms: f64, now_ms: u64) {
+    pub fn record_answer(&mut self, took_ms: f64, expected_ms: f64, now_ms: u64) {
         let ratio = (took_ms / expected_ms.max(0.1)).min(MAX_LATENCY_RATIO);
         let previous = self.ratio(now_ms);
         let confirmed = self.confirmed_ratio(ratio, took_ms, now_ms);
@@ -154,7 +154,7 @@
     ///
     /// Shedding costs little time, and a replica that sheds some requests still runs the others. It
     /// is used when the other replicas have queues, and not avoided like an unreachable one.
-    pub fn shed(&mut self, now_ms: u64) {
+    pub fn record_shed(&mut self, now_ms: u64) {
         self.record_shed_sample(1.0, now_ms);
     }
 
@@ -191,7 +191,7 @@
     }
 
     /// Records the number of running and queued requests that the replica reported.
-    pub fn reported(&mut self, load: u32, now_ms: u64) {
+    pub fn record_reported_load(&mut self, load: u32, now_ms: u64) {
         self.other_load = (f64::from(load) - self.own_load()).max(0.0);
         self.other_load_at_ms = now_ms;
     }
@@ -199,8 +199,8 @@
     /// Applies a report from another instance.
     ///
     /// An instance that delegates a shard to another instance sends nothing to its replicas itself.
-    pub fn told(&mut self, told: Told, now_ms: u64) {
-        self.reported(told.load, now_ms);
+    pub fn apply_report(&mut self, told: ReplicaReport, now_ms: u64) {
+        self.record_reported_load(told.load, now_ms);
         if told.ratio > self.ratio(now_ms) {
             self.ratio = told.ratio.min(MAX_LATENCY_RATIO);
             self.ratio_at_ms = now_ms;
@@ -208,7 +208,7 @@
     }
 
     /// Records a failure or a timeout.
-    pub fn failed(&mut self, now_ms: u64) {
+    pub fn record_failure(&mut self, now_ms: u64) {
         let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
         self.consecutive_failures += 1;
         self.penalty = self.penalty(now_ms) + FAILURE_COST_FACTOR * f64::from(1_u32 << doublings);
@@ -221,7 +221,7 @@
     /// if it is still listed. Each further send would reach a replica of another service and count
     /// there as a retry. In a store outage of a few seconds, six instances made 120 such sends,
     /// which exceeds the slack left for errors.
-    pub fn replaced(&mut self) {
+    pub fn mark_replaced(&mut self) {
         self.is_replaced = true;
     }
 
@@ -268,7 +268,7 @@
     /// Assumes a replica of usual speed. `usual_ms` is the work of one request, used if this thread
     /// has sent none yet.
     #[must_use]
-    pub fn wait_ms(&self, usual_ms: f64, slots: u32, now_ms: u64) -> f64 {
+    pub fn expected_wait_ms(&self, usual_ms: f64, slots: u32, now_ms: u64) -> f64 {
         let slots = f64::from(slots.max(1));
         let queued = (self.load(now_ms) + 1.0 - slots).max(0.0);
         let work_ms = if self.work_ms > 0.0 { self.work_ms } else { usual_ms };
@@ -279,15 +279,15 @@
     ///
     /// It accounts for queue and speed, but not for failures.
     #[must_use]
-    pub fn answer_ms(&self, work_ms: f64, slots: u32, now_ms: u64) -> f64 {
-        self.ratio(now_ms) * (work_ms + self.wait_ms(work_ms, slots, now_ms))
+    pub fn expected_latency_ms(&self, work_ms: f64, slots: u32, now_ms: u64) -> f64 {
+        self.ratio(now_ms) * (work_ms + self.expected_wait_ms(work_ms, slots, now_ms))
     }
 
     /// Returns the cost of overdue, failed and shed requests, in multiples of the usual latency.
     ///
     /// `spent` is the fraction of the retry budget that is spent, from 0 to 1.
     #[must_use]
-    pub fn doubt(&self, spent: f64, now_ms: u64) -> f64 {
+    pub fn penalty_cost(&self, spent: f64, now_ms: u64) -> f64 {
         let overdue = if self.is_overdue(now_ms) { OVERDUE_COST_FACTOR } else { 0.0 };
         let shed_cost =
             SHED_COST_FACTOR + (SHED_COST_FACTOR_BUDGET_SPENT - SHED_COST_FACTOR) * spent;
@@ -298,7 +298,7 @@
     #[must_use]
     pub fn cost(&self, slots: u32, now_ms: u64) -> f64 {
         let queue = self.load(now_ms) / f64::from(slots.max(1));
-        self.ratio(now_ms) * (1.0 + queue) + self.doubt(0.0, now_ms)
+        self.ratio(now_ms) * (1.0 + queue) + self.penalty_cost(0.0, now_ms)
     }
 
     fn penalty(&self, now_ms: u64) -> f64 {
--- a/crates/decide/tests/admission.rs
+++ b/crates/decide/tests/admission.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use eelgrasspier_decide::admission::{Decision, Ended, Ending, Gate, Resolved, Ticket};
+use eelgrasspier_decide::admission::{Completion, Decision, Gate, LoadSignal, Resolution, Ticket};
 
 const WORK_US: u64 = 20_000;
 const BUDGET_MS: u64 = 200;
@@ -31,7 +31,7 @@
 
     fn offer(&mut self, team: &str, weight: u32) {
         let deadline_ms = self.now_ms + BUDGET_MS;
-        match self.gate.offer(team, weight, deadline_ms, self.now_ms) {
+        match self.gate.admit(team, weight, deadline_ms, self.now_ms) {
             Decision::Run => self.begin(team.to_owned(), deadline_ms),
             Decision::Wait { ticket, until_ms } => {
                 assert!(until_ms < deadline_ms, "waits until its deadline");
@@ -52,14 +52,14 @@
         );
     }
 
-    fn resolve(&mut self, resolved: Vec<Resolved>) {
+    fn resolve(&mut self, resolved: Vec<Resolution>) {
         for one in resolved {
             match one {
-                Resolved::Start(ticket) => {
+                Resolution::Start(ticket) => {
                     let (team, deadline_ms) = self.waiting.remove(&ticket).expect("waits");
                     self.begin(team, deadline_ms);
                 }
-                Resolved::Refuse(ticket, refusal) => {
+                Resolution::Refuse(ticket, refusal) => {
                     assert!(refusal.is_retryable());
                     let (team, _) = self.waiting.remove(&ticket).expect("waits");
                     *self.refused.entry(team).or_default() += 1;
@@ -75,11 +75,12 @@
             let (team, started, _) = self.running.swap_remove(at);
             *self.done.entry(team.clone()).or_default() += 1;
             let took_us = (self.now_ms - started) * 1_000;
-            let ended = Ended { ending: Ending::InTime, took_us, budget_us: BUDGET_MS * 1_000 };
-            let resolved = self.gate.finish(&team, ended, self.now_ms);
+            let ended =
+                Completion { signal: LoadSignal::InTime, took_us, budget_us: BUDGET_MS * 1_000 };
+            let resolved = self.gate.complete(&team, ended, self.now_ms);
             self.resolve(resolved);
         }
-        let expired = self.gate.expire(self.now_ms);
+        let expired = self.gate.refuse_expired(self.now_ms);
         self.resolve(expired);
     }
 }
@@ -123,9 +124,9 @@
 #[test]
 fn an_unreduced_limit_follows_the_share() {
     let mut gate = Gate::new(1);
-    gate.set_most(16);
+    gate.set_max_running(16);
     assert_eq!(gate.limit(), 16);
-    gate.set_most(4);
+    gate.set_max_running(4);
     assert_eq!(gate.limit(), 4);
 }
 
@@ -135,22 +136,22 @@
 fn the_limit_follows_the_load_and_recovers() {
     let mut gate = Gate::new(16);
     let mut now_ms = 1_000;
-    let end = |ending| Ended { ending, took_us: WORK_US, budget_us: BUDGET_MS * 1_000 };
+    let end = |signal| Completion { signal, took_us: WORK_US, budget_us: BUDGET_MS * 1_000 };
     for _ in 0..10 {
-        let _started = gate.offer("a", 1, now_ms + BUDGET_MS, now_ms);
-        gate.finish("a", end(Ending::Shed), now_ms);
+        let _started = gate.admit("a", 1, now_ms + BUDGET_MS, now_ms);
+        gate.complete("a", end(LoadSignal::Shed), now_ms);
     }
     assert_eq!(gate.limit(), 12, "one reduction at a time");
     for _ in 0..50 {
         now_ms += 100;
-        let _started = gate.offer("a", 1, now_ms + BUDGET_MS, now_ms);
-        gate.finish("a", end(Ending::Shed), now_ms);
+        let _started = gate.admit("a", 1, now_ms + BUDGET_MS, now_ms);
+        gate.complete("a", end(LoadSignal::Shed), now_ms);
     }
     assert_eq!(gate.limit(), 1);
     for _ in 0..200 {
         now_ms += 100;
-        let _started = gate.offer("a", 1, now_ms + BUDGET_MS, now_ms);
-        gate.finish("a", end(Ending::InTime), now_ms);
+        let _started = gate.admit("a", 1, now_ms + BUDGET_MS, now_ms);
+        gate.complete("a", end(LoadSignal::InTime), now_ms);
     }
     assert_eq!(gate.limit(), 16);
 }
--- a/crates/decide/tests/allowance.rs
+++ b/crates/decide/tests/allowance.rs
@@ -1,12 +1,12 @@
 //! Retry budget over several instances and over restarts.
 
-use eelgrasspier_decide::allowance::{Allowance, RepeatLimits};
+use eelgrasspier_decide::allowance::{RetryBudget, RetryLimits};
 
-const LIMITS: RepeatLimits = RepeatLimits { ratio_milli: 200, slack: 54, window_ms: 10_000 };
+const LIMITS: RetryLimits = RetryLimits { ratio_milli: 200, slack: 54, window_ms: 10_000 };
 
 /// Takes all available retries for `seconds` at `per_s` requests per second; returns their number.
 fn spend_all(
-    budget: &mut Allowance,
+    budget: &mut RetryBudget,
     instances: u64,
     from_ms: u64,
     seconds: u64,
@@ -15,8 +15,8 @@
     let mut taken = 0;
     for step in 0..seconds * per_s {
         let now_ms = from_ms + step * 1000 / per_s;
-        budget.note_request(&LIMITS, now_ms);
-        while budget.take(&LIMITS, instances, now_ms) {
+        budget.record_request(&LIMITS, now_ms);
+        while budget.try_take(&LIMITS, instances, now_ms) {
             taken += 1;
         }
     }
@@ -25,7 +25,7 @@
 
 #[test]
 fn seven_instances_at_full_budget_stay_within_the_limits() {
-    let taken: u64 = (0..7).map(|_| spend_all(&mut Allowance::default(), 7, 0, 10, 13)).sum();
+    let taken: u64 = (0..7).map(|_| spend_all(&mut RetryBudget::default(), 7, 0, 10, 13)).sum();
     let allowed = 7 * 10 * 13 * LIMITS.ratio_milli / 1000 + LIMITS.slack;
     assert!(taken <= allowed, "{taken} of {allowed}");
     assert!(taken * 2 > allowed, "{taken} of {allowed} leaves most of the budget unused");
@@ -35,8 +35,8 @@
 /// instance has lost its counts and may spend its part of the slack again.
 #[test]
 fn a_restart_of_all_in_the_middle_of_a_window_stays_within_it() {
-    let before: u64 = (0..7).map(|_| spend_all(&mut Allowance::default(), 7, 0, 5, 13)).sum();
-    let after: u64 = (0..7).map(|_| spend_all(&mut Allowance::default(), 7, 5_000, 5, 13)).sum();
+    let before: u64 = (0..7).map(|_| spend_all(&mut RetryBudget::default(), 7, 0, 5, 13)).sum();
+    let after: u64 = (0..7).map(|_| spend_all(&mut RetryBudget::default(), 7, 5_000, 5, 13)).sum();
     let allowed = 7 * 10 * 13 * LIMITS.ratio_milli / 1000 + LIMITS.slack;
     assert!(before + after <= allowed, "{before} + {after} of {allowed}");
 }
@@ -48,29 +48,29 @@
 fn instances_that_do_not_know_each_other_yet_stay_within_the_slack() {
     const ASSUMED_INSTANCES: u64 = 16;
     let taken: u64 =
-        (0..7).map(|_| spend_all(&mut Allowance::default(), ASSUMED_INSTANCES, 0, 1, 1)).sum();
+        (0..7).map(|_| spend_all(&mut RetryBudget::default(), ASSUMED_INSTANCES, 0, 1, 1)).sum();
     assert!(taken <= LIMITS.slack / 2, "{taken}");
-    let alone: u64 = (0..7).map(|_| spend_all(&mut Allowance::default(), 1, 0, 1, 1)).sum();
+    let alone: u64 = (0..7).map(|_| spend_all(&mut RetryBudget::default(), 1, 0, 1, 1)).sum();
     assert!(alone > LIMITS.slack, "the whole slack for each should exceed the limit: {alone}");
 }
 
 #[test]
 fn retries_outside_the_window_may_be_spent_again() {
-    let mut budget = Allowance::default();
+    let mut budget = RetryBudget::default();
     let first = spend_all(&mut budget, 1, 0, 1, 1);
     assert!(first > 0);
-    assert!(!budget.take(&LIMITS, 1, 5_000));
-    assert!(budget.take(&LIMITS, 1, 12_000));
+    assert!(!budget.try_take(&LIMITS, 1, 5_000));
+    assert!(budget.try_take(&LIMITS, 1, 12_000));
 }
 
 /// 18 of 195 instances gather and send nearly all retries.
 #[test]
 fn gatherers_share_most_of_the_slack_and_all_parts_together_fit() {
-    use eelgrasspier_decide::allowance::sharers_of_slack;
-    let (gathering, other) = (sharers_of_slack(195, 17, true), sharers_of_slack(195, 18, false));
+    use eelgrasspier_decide::allowance::slack_divisor;
+    let (gathering, other) = (slack_divisor(195, 17, true), slack_divisor(195, 18, false));
     assert!(gathering < 25, "{gathering}");
     // 18 / gathering + 177 / other is at most one.
     assert!(18 * other + 177 * gathering <= gathering * other, "{gathering}, {other}");
     // If all instances gather, all have the same part.
-    assert_eq!(sharers_of_slack(7, 6, true), 7);
+    assert_eq!(slack_divisor(7, 6, true), 7);
 }
--- a/crates/decide/tests/beliefs.rs
+++ b/crates/decide/tests/beliefs.rs
@@ -3,10 +3,12 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use eelgrasspier_decide::directory::{COME_BACK_MS, Directory, EntryChange, ReplicaEntry};
+use eelgrasspier_decide::directory::{
+    EntryChange, LAPSED_RETENTION_MS, ReplicaDirectory, ReplicaEntry,
+};
 use eelgrasspier_decide::history::{Edition, Position};
 use eelgrasspier_decide::mirror::{
-    Changes, Deleted, Effect, Mirror, Retention, Settling, Versioned,
+    Changes, Deleted, Effect, Mirror, RestorePolicy, Retention, Versioned,
 };
 
 fn object(name: &str, revision: u64) -> Versioned {
@@ -20,7 +22,7 @@
 }
 
 fn empty_mirror() -> Mirror {
-    Mirror::new(Settling { retention: Retention::ForMs(2_000), doubt_ms: 4_000 })
+    Mirror::new(RestorePolicy { retention: Retention::ForMs(2_000), withhold_ms: 4_000 })
 }
 
 fn at(revision: u64) -> Position {
@@ -28,7 +30,12 @@
 }
 
 fn names(mirror: &Mirror) -> Vec<String> {
-    mirror.since(at(0)).objects.into_iter().map(|o| format!("{}@{}", o.name, o.revision)).collect()
+    mirror
+        .changes_since(at(0))
+        .objects
+        .into_iter()
+        .map(|o| format!("{}@{}", o.name, o.revision))
+        .collect()
 }
 
 /// Guards against the return of a replaced version. A poll was answered from a stale read, seconds
@@ -65,15 +72,15 @@
         },
         0,
     );
-    let changes = first.since(second.position());
+    let changes = first.changes_since(second.position());
     assert!(!changes.is_whole && changes.objects.len() == 1);
     second.apply(&changes, 0);
     assert_eq!(names(&second), names(&first));
     assert_eq!(second.position(), first.position());
     // An instance that has just started gets everything.
     let mut third = empty_mirror();
-    third.apply(&first.since(at(0)), 0);
-    assert!(third.is_filled());
+    third.apply(&first.changes_since(at(0)), 0);
+    assert!(third.has_full_list());
     assert_eq!(names(&third), names(&first));
 }
 
@@ -86,7 +93,7 @@
     first.apply(&full_list(30, &[("a", 3)]), 0);
     let mut second = empty_mirror();
     second.apply(&full_list(20, &[("a", 3)]), 0);
-    assert!(second.apply(&first.since(second.position()), 0).effects.is_empty());
+    assert!(second.apply(&first.changes_since(second.position()), 0).effects.is_empty());
     assert_eq!(second.position(), first.position());
 }
 
@@ -104,7 +111,7 @@
     }
 }
 
-fn ids(directory: &Directory) -> Vec<Arc<str>> {
+fn ids(directory: &ReplicaDirectory) -> Vec<Arc<str>> {
     directory.entries().map(|e| Arc::clone(&e.id)).collect()
 }
 
@@ -113,22 +120,22 @@
 /// again two seconds later.
 #[test]
 fn entries_that_lapsed_in_an_outage_are_retained_for_a_grace_period() {
-    let mut directory = Directory::default();
+    let mut directory = ReplicaDirectory::default();
     directory.replace(vec![entry("lives", false), entry("dead", false), entry("left", true)], 0);
-    directory.store_is_back(10_000);
+    directory.on_store_recovered(10_000);
     directory.replace(Vec::new(), 10_050);
     assert_eq!(ids(&directory), ["dead".into(), "lives".into()]);
     assert!(!directory.apply(EntryChange::Set(entry("lives", false)), 11_500));
-    assert!(!directory.expire(10_000 + COME_BACK_MS - 1));
-    assert!(directory.expire(10_000 + COME_BACK_MS));
+    assert!(!directory.expire(10_000 + LAPSED_RETENTION_MS - 1));
+    assert!(directory.expire(10_000 + LAPSED_RETENTION_MS));
     assert_eq!(ids(&directory), ["lives".into()]);
 }
 
 #[test]
 fn missing_entries_are_removed_without_an_outage() {
-    let mut directory = Directory::default();
+    let mut directory = ReplicaDirectory::default();
     directory.replace(vec![entry("a", false), entry("b", false)], 0);
-    assert!(directory.apply(EntryChange::Gone("a".into()), 5_000));
+    assert!(directory.apply(EntryChange::Removed("a".into()), 5_000));
     assert!(directory.replace(Vec::new(), 6_000));
     assert!(ids(&directory).is_empty());
 }
@@ -144,7 +151,7 @@
 /// then the store applied the lost report, which overwrote the newer one.
 #[test]
 fn a_late_report_of_an_earlier_run_changes_nothing() {
-    let mut directory = Directory::default();
+    let mut directory = ReplicaDirectory::default();
     directory.apply(EntryChange::Set(report(1_000, 50, false)), 0);
     assert!(directory.apply(EntryChange::Set(report(9_000, 1, false)), 1));
     assert_eq!(ids(&directory), ["a@9000".into()]);
@@ -157,7 +164,7 @@
 /// report was applied after that one.
 #[test]
 fn reports_of_one_run_are_ordered_by_number() {
-    let mut directory = Directory::default();
+    let mut directory = ReplicaDirectory::default();
     directory.apply(EntryChange::Set(report(1_000, 7, true)), 0);
     assert!(!directory.apply(EntryChange::Set(report(1_000, 6, false)), 1));
     assert!(directory.entries().all(|e| e.is_draining));
@@ -181,8 +188,11 @@
     let deleted = vec![Deleted { name: "b".to_owned(), revision: 14, ..Deleted::default() }];
     let both = Changes { as_of: 14, deleted, ..Changes::default() };
     // It counts as an effect although nothing changes here, so that other instances are notified.
-    assert_eq!(watching.apply(&both, 0).effects, [Effect::Gone("b".to_owned())]);
+    assert_eq!(watching.apply(&both, 0).effects, [Effect::Removed("b".to_owned())]);
     assert_eq!(watching.apply(&both, 0).effects, []);
-    assert_eq!(polling.apply(&watching.since(at(12)), 0).effects, [Effect::Gone("b".to_owned())]);
+    assert_eq!(
+        polling.apply(&watching.changes_since(at(12)), 0).effects,
+        [Effect::Removed("b".to_owned())]
+    );
     assert_eq!(names(&polling), ["a@3"]);
 }
--- a/crates/decide/tests/copies/mod.rs
+++ b/crates/decide/tests/copies/mod.rs
@@ -2,13 +2,13 @@
 
 use bytes::Bytes;
 use eelgrasspier_decide::history::Edition;
-use eelgrasspier_decide::mirror::{Changes, Mirror, Retention, Settling, Versioned};
+use eelgrasspier_decide::mirror::{Changes, Mirror, RestorePolicy, Retention, Versioned};
 
 pub const RETENTION_MS: u64 = 2_000;
 pub const WITHHOLD_MS: u64 = 4_000;
 
 pub fn new_mirror(retention: Retention) -> Mirror {
-    Mirror::new(Settling { retention, doubt_ms: WITHHOLD_MS })
+    Mirror::new(RestorePolicy { retention, withhold_ms: WITHHOLD_MS })
 }
 
 pub fn replica_mirror() -> Mirror {
@@ -23,5 +23,5 @@
 }
 
 pub fn full_list((era, as_of): (u64, u64), objects: Vec<Versioned>) -> Changes {
-    Changes { as_of, is_whole: true, objects, ..Changes::default() }.in_era(era)
+    Changes { as_of, is_whole: true, objects, ..Changes::default() }.with_era(era)
 }
--- a/crates/decide/tests/duties.rs
+++ b/crates/decide/tests/duties.rs
@@ -136,7 +136,8 @@
     let datagram = Datagram { members: others.collect(), ..Datagram::default() };
     own.receive(1, ([127, 0, 0, 1], 9).into(), &datagram);
     let same_zone: Vec<u16> = datagram.members.iter().filter(|m| m.zone == "a").map(port).collect();
-    let notified: Vec<u16> = own.farewell(20, 20, 7).iter().map(|s| s.to.port()).collect();
+    let notified: Vec<u16> =
+        own.broadcast_own_record(20, 20, 7).iter().map(|s| s.to.port()).collect();
     assert_eq!(notified.len(), 20);
     assert!(notified.iter().all(|port| same_zone.contains(port)), "{notified:?}");
 }
--- a/crates/decide/tests/history.rs
+++ b/crates/decide/tests/history.rs
@@ -3,23 +3,25 @@
 mod copies;
 
 use bytes::Bytes;
-use eelgrasspier_decide::history::{Eras, Position, Told};
-use eelgrasspier_decide::mirror::{Changes, Deleted, Effect, Mirror, Note, Retention, Versioned};
+use eelgrasspier_decide::history::{EraComparison, EraTracker, Position};
+use eelgrasspier_decide::mirror::{
+    Changes, Deleted, Deviation, Effect, Mirror, Retention, Versioned,
+};
 
 use copies::{RETENTION_MS, WITHHOLD_MS, full_list, new_mirror, object, replica_mirror};
 
 fn events((era, as_of): (u64, u64), objects: Vec<Versioned>) -> Changes {
-    Changes { as_of, objects, ..Changes::default() }.in_era(era)
+    Changes { as_of, objects, ..Changes::default() }.with_era(era)
 }
 
 fn deletion((era, as_of): (u64, u64), name: &str) -> Changes {
     let deleted = Deleted { name: name.to_owned(), revision: as_of, ..Deleted::default() };
-    Changes { as_of, deleted: vec![deleted], ..Changes::default() }.in_era(era)
+    Changes { as_of, deleted: vec![deleted], ..Changes::default() }.with_era(era)
 }
 
 /// Returns the contents in use, without objects that are sent together with a tombstone.
 fn contents(mirror: &Mirror) -> Vec<String> {
-    let all = mirror.since(Position::default());
+    let all = mirror.changes_since(Position::default());
     let is_in_use = |o: &&Versioned| all.deleted.iter().all(|deleted| deleted.name != o.name);
     let in_use = all.objects.iter().filter(is_in_use);
     in_use.map(|o| String::from_utf8_lossy(&o.content).into_owned()).collect()
@@ -49,13 +51,13 @@
     mirror.apply(&full_list((7, 80), vec![object("main", 79, 79)]), 0);
     let applied = mirror.apply(&full_list((8, 70), vec![object("main", 60, 77)]), 0);
     assert_eq!(applied.effects, []);
-    assert!(matches!(&applied.notes[..], [Note::LeftOut { .. }]), "{applied:?}");
+    assert!(matches!(&applied.deviations[..], [Deviation::IgnoredStale { .. }]), "{applied:?}");
     mirror.expire(60_000);
     assert_eq!(contents(&mirror), ["main:79"]);
     // An instance that read only the restored store gets the newer version, even long afterwards.
     let mut other = new_mirror(Retention::Always);
     other.apply(&full_list((8, 70), vec![object("main", 60, 77)]), 0);
-    other.apply(&mirror.since(other.position()), 60_000);
+    other.apply(&mirror.changes_since(other.position()), 60_000);
     assert_eq!(contents(&other), ["main:79"]);
 }
 
@@ -66,13 +68,13 @@
     unaware.apply(&full_list((7, 80), vec![object("main", 79, 79)]), 0);
     let mut started = new_mirror(Retention::Always);
     started.apply(&full_list((8, 70), vec![object("main", 60, 77)]), 0);
-    let applied = started.apply(&unaware.since(started.position()), 0);
+    let applied = started.apply(&unaware.changes_since(started.position()), 0);
     assert_eq!(applied.effects, [set("main", 79)]);
     assert_eq!(started.position().era, 8);
     // Replica entries are not taken over, since the store is authoritative for them.
     let mut unaware = replica_mirror();
     unaware.apply(&full_list((7, 80), vec![object("a", 79, 9)]), 0);
-    assert_eq!(unaware.since(started.position()).objects, []);
+    assert_eq!(unaware.changes_since(started.position()).objects, []);
 }
 
 /// Guards against missing changes once the restored store's revisions exceed those of a watch.
@@ -102,17 +104,17 @@
     let mut mirror = replica_mirror();
     let entries = vec![object("dead", 78, 1), object("lives", 79, 1)];
     mirror.apply(&full_list((7, 80), entries), 0);
-    let retained = ["dead", "lives"].map(|name| Note::Kept(name.to_owned()));
-    assert_eq!(mirror.apply(&full_list((8, 70), Vec::new()), 10_000).notes, retained);
-    assert_eq!(mirror.unsettled(), 2);
+    let retained = ["dead", "lives"].map(|name| Deviation::Retained(name.to_owned()));
+    assert_eq!(mirror.apply(&full_list((8, 70), Vec::new()), 10_000).deviations, retained);
+    assert_eq!(mirror.unsettled_count(), 2);
     assert_eq!(
         mirror.apply(&events((8, 71), vec![object("lives", 71, 2)]), 11_000).effects,
         [set("lives", 2)]
     );
     assert_eq!(mirror.expire(10_000 + RETENTION_MS - 1).effects, []);
-    assert_eq!(mirror.expire(10_000 + RETENTION_MS).effects, [Effect::Gone("dead".to_owned())]);
+    assert_eq!(mirror.expire(10_000 + RETENTION_MS).effects, [Effect::Removed("dead".to_owned())]);
     assert_eq!(contents(&mirror), ["lives:2"]);
-    assert_eq!(mirror.unsettled(), 0);
+    assert_eq!(mirror.unsettled_count(), 0);
 }
 
 /// Guards against dropping a live replica with an older, equivalent entry in the backup. The store
@@ -128,7 +130,7 @@
     // It is deleted in the new era after all.
     assert_eq!(
         mirror.apply(&deletion((8, 90), "a"), 9_000).effects,
-        [Effect::Gone("a".to_owned())]
+        [Effect::Removed("a".to_owned())]
     );
 }
 
@@ -140,8 +142,8 @@
     mirror.apply(&deletion((7, 85), "left"), 0);
     mirror.apply(&deletion((7, 86), "lives"), 0);
     let restored = vec![object("left", 40, 3), object("lives", 41, 3)];
-    let withheld = ["left", "lives"].map(|name| Note::Doubted(name.to_owned()));
-    assert_eq!(mirror.apply(&full_list((8, 70), restored.clone()), 0).notes, withheld);
+    let withheld = ["left", "lives"].map(|name| Deviation::Withheld(name.to_owned()));
+    assert_eq!(mirror.apply(&full_list((8, 70), restored.clone()), 0).deviations, withheld);
     assert_eq!(
         mirror.apply(&events((8, 71), vec![object("lives", 71, 4)]), 0).effects,
         [set("lives", 4)]
@@ -149,7 +151,7 @@
     // An instance that read only the restored store learns that the object is withheld.
     let mut started = replica_mirror();
     started.apply(&full_list((8, 70), restored), 0);
-    started.apply(&mirror.since(started.position()), 0);
+    started.apply(&mirror.changes_since(started.position()), 0);
     assert_eq!(contents(&started), ["lives:4"]);
     // The store expires the entry, since it is not renewed.
     assert_eq!(mirror.apply(&deletion((8, 75), "left"), 3_000).effects, []);
@@ -167,12 +169,12 @@
     mirror.apply(&deletion((7, 85), "left"), 0);
     mirror.apply(&full_list((8, 70), vec![object("left", 40, 3)]), 0);
     let written = mirror.apply(&events((8, 71), vec![object("lives", 71, 1)]), 0);
-    assert_eq!((written.effects.len(), written.has_news()), (0, true));
+    assert_eq!((written.effects.len(), written.needs_notification()), (0, true));
     let lapsed = mirror.apply(&deletion((8, 72), "left"), 0);
-    assert_eq!((lapsed.effects.len(), lapsed.has_news()), (0, true));
+    assert_eq!((lapsed.effects.len(), lapsed.needs_notification()), (0, true));
     // Writing the object once more in the same era is not news.
     let written = mirror.apply(&events((8, 73), vec![object("lives", 73, 1)]), 0);
-    assert!(!written.has_news());
+    assert!(!written.needs_notification());
 }
 
 /// Guards against instances that permanently disagree on the use of a replica.
@@ -184,7 +186,7 @@
     let (mut second, mut started) = (first.clone(), replica_mirror());
     first.apply(&full_list((8, 70), vec![object("a", 40, 3)]), 0);
     for mirror in [&mut second, &mut started] {
-        let applied = mirror.apply(&first.since(mirror.position()), 0);
+        let applied = mirror.apply(&first.changes_since(mirror.position()), 0);
         assert!(!applied.effects.contains(&set("a", 3)), "{applied:?}");
         assert_eq!(contents(mirror), Vec::<String>::new());
         assert_eq!(mirror.expire(WITHHOLD_MS).effects, [set("a", 3)]);
@@ -226,8 +228,8 @@
     }
     first.apply(&full_list((8, 70), vec![object("a", 60, 1)]), 0);
     first.apply(&events((8, 75), vec![object("c", 75, 1)]), 0);
-    assert_eq!(first.apply(&second.since(first.position()), 0).effects, []);
-    second.apply(&first.since(second.position()), 0);
+    assert_eq!(first.apply(&second.changes_since(first.position()), 0).effects, []);
+    second.apply(&first.changes_since(second.position()), 0);
     assert_eq!(second.position(), first.position());
     assert_eq!(contents(&second), contents(&first));
     for mirror in [&mut first, &mut second] {
@@ -238,23 +240,23 @@
 
 #[test]
 fn a_restore_is_reported_once_and_late_answers_are_detected() {
-    let mut eras = Eras::default();
-    assert_eq!(eras.take(Some(7), 0, false), Told::Restored);
-    assert_eq!(eras.take(Some(7), 7, false), Told::Same);
-    assert_eq!(eras.take(Some(8), 7, false), Told::Restored);
+    let mut eras = EraTracker::default();
+    assert_eq!(eras.observe_answer(Some(7), 0, false), EraComparison::Restored);
+    assert_eq!(eras.observe_answer(Some(7), 7, false), EraComparison::Unchanged);
+    assert_eq!(eras.observe_answer(Some(8), 7, false), EraComparison::Restored);
     // A watch opened earlier, and a stale read, may still return the previous era.
-    assert_eq!(eras.take(Some(7), 7, false), Told::Late);
-    assert_eq!(eras.take(Some(7), 8, true), Told::Late);
-    eras.hear(9);
-    assert_eq!(eras.take(Some(9), 8, false), Told::Same);
+    assert_eq!(eras.observe_answer(Some(7), 7, false), EraComparison::Stale);
+    assert_eq!(eras.observe_answer(Some(7), 8, true), EraComparison::Stale);
+    eras.observe_peer(9);
+    assert_eq!(eras.observe_answer(Some(9), 8, false), EraComparison::Unchanged);
 }
 
 /// Guards against a missing or invalid era header: the store is followed as before.
 #[test]
 fn a_missing_or_lower_era_keeps_the_current_one() {
-    let mut eras = Eras::default();
-    eras.take(Some(7), 0, false);
-    assert_eq!(eras.take(None, 7, false), Told::Same);
-    assert_eq!(eras.take(Some(6), 7, false), Told::Back);
+    let mut eras = EraTracker::default();
+    eras.observe_answer(Some(7), 0, false);
+    assert_eq!(eras.observe_answer(None, 7, false), EraComparison::Unchanged);
+    assert_eq!(eras.observe_answer(Some(6), 7, false), EraComparison::Regressed);
     assert_eq!(eras.current(), 7);
 }
--- a/crates/decide/tests/invariants.rs
+++ b/crates/decide/tests/invariants.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use arbtest::arbtest;
-use eelgrasspier_decide::budget::Budget;
-use eelgrasspier_decide::claim::{Bucket, Change, Key, Outcome};
+use eelgrasspier_decide::budget::TokenBucket;
+use eelgrasspier_decide::claim::{Bucket, BucketChange, ClaimResult, Key};
 use eelgrasspier_decide::hedge::Quantile;
 use eelgrasspier_decide::prelude::Services;
 use eelgrasspier_decide::replica::{Candidate, Choice, pick};
@@ -21,7 +21,7 @@
         let limit = u.int_in_range(0..=40)?;
         let replica = u.arbitrary()?;
         let shares: Vec<u32> =
-            members.iter().map(|&m| share::connections(&members, m, replica, limit)).collect();
+            members.iter().map(|&m| share::share_of(&members, m, replica, limit)).collect();
         assert!(shares.iter().sum::<u32>() <= limit);
         if members.len() <= limit as usize {
             assert!(shares.iter().all(|&s| s > 0));
@@ -38,13 +38,13 @@
     arbtest(|u| {
         let percent = u.int_in_range(0..=100)?;
         let burst = u.int_in_range(0..=50)?;
-        let mut budget = Budget::new(percent, burst);
+        let mut budget = TokenBucket::new(percent, burst);
         let (mut ordinary, mut extra) = (0_u64, 0_u64);
         for _ in 0..u.int_in_range(0..=400)? {
             if u.arbitrary()? {
                 budget.earn();
                 ordinary += 1;
-            } else if budget.spend() {
+            } else if budget.try_take() {
                 extra += 1;
             }
         }
@@ -60,14 +60,14 @@
 fn a_claimed_key_is_never_granted_again() {
     arbtest(|u| {
         let key = Key(u128::from(u.arbitrary::<u16>()?) << 80);
-        let mut bucket = Bucket::default().with(&[Change::Claim(key, 1)]);
+        let mut bucket = Bucket::default().with_changes(&[BucketChange::Claim(key, 1)]);
         for _ in 0..u.int_in_range(0..=20)? {
             match u.int_in_range(0..=2)? {
-                0 => bucket = bucket.with(&[Change::Claim(key, 2)]),
-                1 => bucket = bucket.with(&[Change::Release(key, 2)]),
+                0 => bucket = bucket.with_changes(&[BucketChange::Claim(key, 2)]),
+                1 => bucket = bucket.with_changes(&[BucketChange::Release(key, 2)]),
                 _ => bucket.raise_floor(u.int_in_range(0..=70_000)?, u.int_in_range(0..=3)?),
             }
-            assert_ne!(bucket.outcome(key, 2), Some(Outcome::Granted));
+            assert_ne!(bucket.outcome(key, 2), Some(ClaimResult::Granted));
         }
         Ok(())
     });
--- a/crates/decide/tests/merging.rs
+++ b/crates/decide/tests/merging.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbtest;
 use eelgrasspier_decide::merge::{Greatest, RECORD_BYTES};
-use eelgrasspier_decide::patience::{Gathering, Next, margin_ms};
+use eelgrasspier_decide::patience::{GatherState, WaitDecision, delivery_margin_ms};
 
 /// Reference implementation that sorts all records.
 fn merge_by_sorting(parts: &[Vec<u8>], max_records: usize) -> Vec<u8> {
@@ -46,24 +46,31 @@
     assert_eq!(greatest.into_bytes(), vec![9; 3 * RECORD_BYTES]);
 }
 
-fn gathering(covered: usize, failed: usize) -> Gathering {
-    Gathering { total: 20, least: 18, covered, failed, target_at_ms: 80, limit_at_ms: 400 }
+fn gathering(covered: usize, failed: usize) -> GatherState {
+    GatherState {
+        shard_count: 20,
+        min_covered: 18,
+        covered,
+        failed,
+        target_at_ms: 80,
+        deadline_at_ms: 400,
+    }
 }
 
 #[test]
 fn all_shards_are_awaited_until_the_target_and_then_only_the_minimum() {
-    assert_eq!(gathering(20, 0).next(10), Next::Answer);
-    assert_eq!(gathering(19, 1).next(10), Next::Answer);
-    assert_eq!(gathering(18, 0).next(79), Next::WaitUntil(80));
-    assert_eq!(gathering(18, 0).next(80), Next::Answer);
-    assert_eq!(gathering(17, 0).next(80), Next::WaitUntil(400));
-    assert_eq!(gathering(17, 0).next(400), Next::GiveUp);
+    assert_eq!(gathering(20, 0).decide(10), WaitDecision::Answer);
+    assert_eq!(gathering(19, 1).decide(10), WaitDecision::Answer);
+    assert_eq!(gathering(18, 0).decide(79), WaitDecision::WaitUntil(80));
+    assert_eq!(gathering(18, 0).decide(80), WaitDecision::Answer);
+    assert_eq!(gathering(17, 0).decide(80), WaitDecision::WaitUntil(400));
+    assert_eq!(gathering(17, 0).decide(400), WaitDecision::Fail);
 }
 
 #[test]
 fn an_answer_that_cannot_succeed_fails_at_once() {
-    assert_eq!(gathering(0, 3).next(1), Next::GiveUp);
-    assert_eq!(gathering(17, 2).next(1), Next::WaitUntil(80));
+    assert_eq!(gathering(0, 3).decide(1), WaitDecision::Fail);
+    assert_eq!(gathering(17, 2).decide(1), WaitDecision::WaitUntil(80));
 }
 
 /// Guards against a margin that ignores the CPU capacity of the instance. An instance with an
@@ -72,11 +79,11 @@
 /// millisecond, which left a tenth of their value.
 #[test]
 fn small_instances_stop_waiting_earlier() {
-    let margins = [500, 250, 120].map(|capacity_milli| margin_ms(100, capacity_milli));
+    let margins = [500, 250, 120].map(|capacity_milli| delivery_margin_ms(100, capacity_milli));
     assert_eq!(margins, [9, 12, 19]);
     // Most of a short target is left for the replicas.
-    assert_eq!(margin_ms(40, 120), 13);
-    assert_eq!(margin_ms(40, 0), 13);
+    assert_eq!(delivery_margin_ms(40, 120), 13);
+    assert_eq!(delivery_margin_ms(40, 0), 13);
 }
 
 /// Guards against a margin that is the same for targets of 40 and 200 ms. Answers were sent 10 ms
@@ -84,6 +91,6 @@
 /// requests; of those that waited for their last shard, a sixth were late.
 #[test]
 fn longer_targets_have_a_larger_margin() {
-    let margins = [40, 80, 200].map(|target_ms| margin_ms(target_ms, 250));
+    let margins = [40, 80, 200].map(|target_ms| delivery_margin_ms(target_ms, 250));
     assert_eq!(margins, [11, 12, 15]);
 }
--- a/crates/decide/tests/model_claims.rs
+++ b/crates/decide/tests/model_claims.rs
@@ -5,7 +5,7 @@
 //! the production code. Every reachable state is visited; disabling any rule must lead to a second
 //! run.
 
-use eelgrasspier_decide::claim::{Attempt, Bucket, Change, Key, Outcome};
+use eelgrasspier_decide::claim::{Attempt, Bucket, BucketChange, ClaimResult, Key};
 use pathfinding::prelude::bfs;
 
 const KEY: Key = Key(7 << 80);
@@ -111,16 +111,16 @@
         {
             let next_change = match actor.attempt {
                 Attempt::Claiming if bucket.outcome(KEY, NONCES[i]).is_none() => {
-                    Some(Change::Claim(KEY, NONCES[i]))
+                    Some(BucketChange::Claim(KEY, NONCES[i]))
                 }
-                Attempt::GivenUp if actor.releases => Some(Change::Release(KEY, NONCES[i])),
-                Attempt::Holding if mutant == Mutant::ReleasesWhileHolding => {
-                    Some(Change::Release(KEY, NONCES[i]))
+                Attempt::Abandoned if actor.releases => Some(BucketChange::Release(KEY, NONCES[i])),
+                Attempt::Claimed if mutant == Mutant::ReleasesWhileHolding => {
+                    Some(BucketChange::Release(KEY, NONCES[i]))
                 }
                 _ => None,
             };
             if let Some(change) = next_change {
-                let bucket = bucket.with(&[change]);
+                let bucket = bucket.with_changes(&[change]);
                 let update = Update { by: Some(i), expected: *version, bucket };
                 next.push(self.with(|s| {
                     s.updates.push(update);
@@ -128,9 +128,9 @@
                 }));
             }
         }
-        if actor.attempt == Attempt::Claiming || actor.attempt == Attempt::Holding {
+        if actor.attempt == Attempt::Claiming || actor.attempt == Attempt::Claimed {
             next.push(self.with(|s| {
-                s.actors[i].attempt = s.actors[i].attempt.give_up();
+                s.actors[i].attempt = s.actors[i].attempt.abandon();
                 s.actors[i].releases = true;
                 s.actors[i].is_waiting = false;
                 s.actors[i].read = None;
@@ -142,7 +142,7 @@
     /// A send runs, or definitely does not (no byte was sent, or it was shed).
     fn send_steps(&self, i: usize, mutant: Mutant, next: &mut Vec<Self>) {
         let attempt = self.actors[i].attempt;
-        let permitted = match attempt.send() {
+        let permitted = match attempt.use_permission() {
             None if mutant == Mutant::SendsAgain && attempt == Attempt::Sent => Some(attempt),
             permitted => permitted,
         };
@@ -151,7 +151,7 @@
             s.actors[i].attempt = sent;
             s.actors[i].runs += 1;
         }));
-        next.push(self.with(|s| s.actors[i].attempt = sent.not_sent()));
+        next.push(self.with(|s| s.actors[i].attempt = sent.restore_permission()));
     }
 
     /// An attempt reads the bucket, from an answer or directly.
@@ -159,7 +159,7 @@
         let bucket = self.bucket.clone();
         self.actors[i].read = Some((self.version, bucket.clone()));
         let Some(outcome) = bucket.outcome(KEY, NONCES[i]) else { return };
-        self.actors[i].attempt = self.actors[i].attempt.resolved(outcome);
+        self.actors[i].attempt = self.actors[i].attempt.with_outcome(outcome);
     }
 
     fn delivery_steps(&self, mutant: Mutant, next: &mut Vec<Self>) {
@@ -183,7 +183,8 @@
                     s.actors[i].is_waiting = false;
                     s.actors[i].read = None;
                     if mutant == Mutant::TrustsLostAnswer {
-                        s.actors[i].attempt = s.actors[i].attempt.resolved(Outcome::Granted);
+                        s.actors[i].attempt =
+                            s.actors[i].attempt.with_outcome(ClaimResult::Granted);
                     }
                 }
             }));
@@ -193,7 +194,7 @@
                     s.actors[i].is_waiting = false;
                     s.actors[i].read = None;
                     if applies {
-                        let is_release = s.actors[i].attempt == Attempt::GivenUp;
+                        let is_release = s.actors[i].attempt == Attempt::Abandoned;
                         s.actors[i].releases &= !is_release;
                         s.read(i);
                     }
@@ -224,19 +225,19 @@
     /// The bucket's owner claims for the first attempt, based on its own read.
     fn owner_steps(&self, mutant: Mutant, next: &mut Vec<Self>) {
         let to_update = |change| {
-            let bucket = self.bucket.with(&[change]);
+            let bucket = self.bucket.with_changes(&[change]);
             Update { by: None, expected: self.version, bucket }
         };
         if self.can_owner_claim {
             next.push(self.with(|s| {
                 s.can_owner_claim = false;
-                s.updates.push(to_update(Change::Claim(KEY, NONCES[0])));
+                s.updates.push(to_update(BucketChange::Claim(KEY, NONCES[0])));
             }));
         }
         if mutant == Mutant::OwnerReleases && !self.can_owner_claim && self.can_owner_release {
             next.push(self.with(|s| {
                 s.can_owner_release = false;
-                s.updates.push(to_update(Change::Release(KEY, NONCES[0])));
+                s.updates.push(to_update(BucketChange::Release(KEY, NONCES[0])));
             }));
         }
     }
--- a/crates/decide/tests/model_config.rs
+++ b/crates/decide/tests/model_config.rs
@@ -3,7 +3,7 @@
 //! Two operators race and answers are lost; instances read stale versions, restart, and receive
 //! versions from each other.
 
-use eelgrasspier_decide::config::{Edit, InForce, Submission, push_edit, resolve};
+use eelgrasspier_decide::config::{ConfigInForce, Edit, Submission, push_edit, resolve};
 use pathfinding::prelude::bfs;
 
 /// Rule that is disabled.
@@ -35,7 +35,7 @@
     recent_edits: Vec<Edit>,
     updates: Vec<Edit>,
     operators: [Operator; 2],
-    in_force: [InForce; 2],
+    in_force: [ConfigInForce; 2],
     /// Highest version that each instance ever had in force.
     highest: [Option<u64>; 2],
 }
@@ -143,7 +143,7 @@
         for version in 1..=self.version() {
             next.push(self.with(|s| {
                 if mutant == Mutant::AppliesAnyVersion {
-                    s.in_force[i] = InForce::default();
+                    s.in_force[i] = ConfigInForce::default();
                 }
                 let edits = usize::try_from(version).unwrap();
                 let _offered = s.in_force[i].offer(version, &self.history[..edits]);
--- a/crates/decide/tests/model_share.rs
+++ b/crates/decide/tests/model_share.rs
@@ -3,7 +3,7 @@
 //! Three instances share one replica's connections. One joins and one leaves at any time; member
 //! lists and announcements arrive late and in any order between instances.
 
-use eelgrasspier_decide::share::{self, Agreement, Members, connections};
+use eelgrasspier_decide::share::{self, Agreement, MemberKeys, share_of};
 use pathfinding::prelude::bfs;
 
 const REPLICA: u64 = 99;
@@ -41,7 +41,7 @@
     has_left: bool,
 }
 
-fn members(names: &[u64]) -> Members {
+fn members(names: &[u64]) -> MemberKeys {
     names.iter().copied().collect()
 }
 
@@ -54,7 +54,7 @@
             let mut announced = Vec::new();
             if i < 2 {
                 agreement.set_members(&pair);
-                agreement.heard(NAMES[1 - i], share::digest(&pair));
+                agreement.on_announcement(NAMES[1 - i], share::digest(&pair));
                 announced.push(share::digest(&pair));
             }
             let agreed = if i < 2 { NAMES[..2].to_vec() } else { Vec::new() };
@@ -72,9 +72,9 @@
         }
         match mutant {
             Mutant::GrowsAtOnce => {
-                connections(&instance.agreement.current(), NAMES[i], REPLICA, self.limit)
+                share_of(&instance.agreement.current_members(), NAMES[i], REPLICA, self.limit)
             }
-            Mutant::KeepsOldShare => connections(&instance.agreed, NAMES[i], REPLICA, self.limit),
+            Mutant::KeepsOldShare => share_of(&instance.agreed, NAMES[i], REPLICA, self.limit),
             _ => instance.agreement.share(REPLICA, self.limit),
         }
     }
@@ -84,7 +84,7 @@
     }
 
     /// Returns the member lists that an instance may receive in the current state.
-    fn lists(&self, mutant: Mutant) -> Vec<Members> {
+    fn lists(&self, mutant: Mutant) -> Vec<MemberKeys> {
         let mut lists = vec![members(&NAMES[..2])];
         if self.has_joined {
             lists.push(members(&NAMES));
@@ -107,11 +107,11 @@
     fn update_agreed(&mut self, i: usize) {
         let instance = &mut self.instances[i];
         if instance.agreement.is_agreed() {
-            instance.agreed = instance.agreement.current();
+            instance.agreed = instance.agreement.current_members();
         }
     }
 
-    fn receive_list(&mut self, i: usize, list: &Members) {
+    fn receive_list(&mut self, i: usize, list: &MemberKeys) {
         let instance = &mut self.instances[i];
         if instance.agreement.set_members(list) {
             instance.announced.push(instance.agreement.digest());
@@ -123,7 +123,7 @@
         let index = self.instances[i].received[from];
         let digest = self.instances[from].announced[index];
         self.instances[i].received[from] += 1;
-        self.instances[i].agreement.heard(NAMES[from], digest);
+        self.instances[i].agreement.on_announcement(NAMES[from], digest);
         self.update_agreed(i);
     }
 
@@ -144,7 +144,7 @@
         for i in (0..3).filter(|&i| self.instances[i].is_present) {
             for list in self.lists(mutant).iter().filter(|l| l.contains(&NAMES[i])) {
                 // A list never goes back to one before the join.
-                let is_older = self.instances[i].agreement.current().contains(&NAMES[2])
+                let is_older = self.instances[i].agreement.current_members().contains(&NAMES[2])
                     && !list.contains(&NAMES[2]);
                 let can_advance = self.instances[i].announced.len() < MAX_LISTS;
                 if can_advance && !is_older {
--- a/crates/decide/tests/quarantine.rs
+++ b/crates/decide/tests/quarantine.rs
@@ -5,8 +5,8 @@
 //! it because only the crash of their replica is remembered.
 
 use eelgrasspier_decide::fingerprint::Fingerprint;
-use eelgrasspier_decide::losses::{Ended, Known, Losses, Lost};
-use eelgrasspier_decide::quarantine::{Finding, Quarantine, Report, Treatment};
+use eelgrasspier_decide::losses::{CrashedSend, LostSend, LostSends, ServerState};
+use eelgrasspier_decide::quarantine::{EvidenceEffect, Quarantine, Report, Treatment};
 use prost::Message;
 
 const CRASHING: Fingerprint = Fingerprint(1);
@@ -14,14 +14,14 @@
 const SECOND_MS: u64 = 1_000;
 const MINUTE_MS: u64 = 60_000;
 
-fn ended(request: Fingerprint, send: u32, is_alone: bool) -> Ended {
-    Ended { request, send, is_alone }
+fn crashed(request: Fingerprint, send_id: u32, is_isolated: bool) -> CrashedSend {
+    CrashedSend { request, send_id, is_isolated }
 }
 
 /// Records the simultaneous crash of all replicas of a request to `shards` shards.
 fn record_crash_wave(quarantine: &mut Quarantine, request: Fingerprint, shards: u32) {
     for replica in 1..=shards {
-        quarantine.note_ended(ended(request, replica, false), 0);
+        quarantine.record_crash(crashed(request, replica, false), 0);
     }
 }
 
@@ -32,12 +32,12 @@
 #[test]
 fn a_request_is_isolated_after_two_crashes_and_refused_after_two_more() {
     let mut quarantine = Quarantine::default();
-    assert_eq!(quarantine.note_ended(ended(CRASHING, 1, false), 0), Finding::Noted);
-    assert_eq!(quarantine.treatment(CRASHING, 0), Treatment::Usual);
-    assert_eq!(quarantine.note_ended(ended(CRASHING, 2, false), 0), Finding::Suspected);
-    assert_eq!(quarantine.treatment(CRASHING, 0), Treatment::OneByOne);
-    assert_eq!(quarantine.note_ended(ended(CRASHING, 3, true), 0), Finding::Noted);
-    assert_eq!(quarantine.note_ended(ended(CRASHING, 4, true), 0), Finding::Refused);
+    assert_eq!(quarantine.record_crash(crashed(CRASHING, 1, false), 0), EvidenceEffect::Recorded);
+    assert_eq!(quarantine.treatment(CRASHING, 0), Treatment::Normal);
+    assert_eq!(quarantine.record_crash(crashed(CRASHING, 2, false), 0), EvidenceEffect::Suspected);
+    assert_eq!(quarantine.treatment(CRASHING, 0), Treatment::OneReplicaAtATime);
+    assert_eq!(quarantine.record_crash(crashed(CRASHING, 3, true), 0), EvidenceEffect::Recorded);
+    assert_eq!(quarantine.record_crash(crashed(CRASHING, 4, true), 0), EvidenceEffect::Refused);
     assert!(is_refused(&quarantine, CRASHING, SECOND_MS));
 }
 
@@ -48,10 +48,10 @@
     let mut quarantine = Quarantine::default();
     record_crash_wave(&mut quarantine, CRASHING, 20);
     record_crash_wave(&mut quarantine, INNOCENT, 20);
-    assert_eq!(quarantine.treatment(INNOCENT, 0), Treatment::OneByOne);
-    assert_eq!(quarantine.note_answered(INNOCENT, 12), Finding::Cleared);
-    assert_eq!(quarantine.treatment(INNOCENT, 12), Treatment::Usual);
-    assert_eq!(quarantine.treatment(CRASHING, 12), Treatment::OneByOne);
+    assert_eq!(quarantine.treatment(INNOCENT, 0), Treatment::OneReplicaAtATime);
+    assert_eq!(quarantine.record_answer(INNOCENT, 12), EvidenceEffect::Cleared);
+    assert_eq!(quarantine.treatment(INNOCENT, 12), Treatment::Normal);
+    assert_eq!(quarantine.treatment(CRASHING, 12), Treatment::OneReplicaAtATime);
 }
 
 /// The replica of the trial was crashed by another request at the same moment.
@@ -59,8 +59,8 @@
 fn one_crash_in_a_trial_does_not_refuse_a_request() {
     let mut quarantine = Quarantine::default();
     record_crash_wave(&mut quarantine, INNOCENT, 20);
-    quarantine.note_ended(ended(INNOCENT, 21, true), 0);
-    assert_eq!(quarantine.treatment(INNOCENT, 0), Treatment::OneByOne);
+    quarantine.record_crash(crashed(INNOCENT, 21, true), 0);
+    assert_eq!(quarantine.treatment(INNOCENT, 0), Treatment::OneReplicaAtATime);
 }
 
 /// The crashed replicas also ran another unanswered request.
@@ -68,9 +68,9 @@
 fn crashes_outside_of_trials_do_not_refuse_a_request() {
     let mut quarantine = Quarantine::default();
     for replica in 1..=40 {
-        quarantine.note_ended(ended(INNOCENT, replica, false), 0);
+        quarantine.record_crash(crashed(INNOCENT, replica, false), 0);
     }
-    assert_eq!(quarantine.treatment(INNOCENT, 0), Treatment::OneByOne);
+    assert_eq!(quarantine.treatment(INNOCENT, 0), Treatment::OneReplicaAtATime);
 }
 
 #[test]
@@ -78,21 +78,24 @@
     let mut quarantine = Quarantine::default();
     record_crash_wave(&mut quarantine, INNOCENT, 20);
     let old = quarantine.report(INNOCENT, 0).unwrap();
-    quarantine.note_answered(INNOCENT, 10);
-    assert_eq!(quarantine.merge(&old, 20), Finding::Unchanged);
-    assert_eq!(quarantine.treatment(INNOCENT, 20), Treatment::Usual);
+    quarantine.record_answer(INNOCENT, 10);
+    assert_eq!(quarantine.merge_report(&old, 20), EvidenceEffect::Unchanged);
+    assert_eq!(quarantine.treatment(INNOCENT, 20), Treatment::Normal);
 }
 
 #[test]
 fn an_answer_ends_a_refusal_on_other_instances() {
     let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
     record_crash_wave(&mut here, CRASHING, 3);
-    here.note_ended(ended(CRASHING, 4, true), 0);
-    here.note_ended(ended(CRASHING, 5, true), 0);
-    there.merge(&here.report(CRASHING, 0).unwrap(), 0);
+    here.record_crash(crashed(CRASHING, 4, true), 0);
+    here.record_crash(crashed(CRASHING, 5, true), 0);
+    there.merge_report(&here.report(CRASHING, 0).unwrap(), 0);
     assert!(is_refused(&there, CRASHING, 10));
-    here.note_answered(CRASHING, 20);
-    assert_eq!(there.merge(&here.report(CRASHING, 20).unwrap(), 30), Finding::Cleared);
+    here.record_answer(CRASHING, 20);
+    assert_eq!(
+        there.merge_report(&here.report(CRASHING, 20).unwrap(), 30),
+        EvidenceEffect::Cleared
+    );
     assert!(!is_refused(&there, CRASHING, 30));
 }
 
@@ -102,18 +105,18 @@
     let mut all: Vec<Quarantine> = vec![Quarantine::default(); 3];
     let mut reports: Vec<Report> = Vec::new();
     for (number, quarantine) in (1..).zip(&mut all) {
-        quarantine.note_ended(ended(CRASHING, number, false), 0);
+        quarantine.record_crash(crashed(CRASHING, number, false), 0);
         reports.push(quarantine.report(CRASHING, 0).unwrap());
     }
     for (number, quarantine) in (11..).zip(all.iter_mut().take(2)) {
-        quarantine.note_ended(ended(CRASHING, number, true), 0);
+        quarantine.record_crash(crashed(CRASHING, number, true), 0);
         reports.push(quarantine.report(CRASHING, 0).unwrap());
     }
     for (turn, quarantine) in all.iter_mut().enumerate() {
         let mut order = reports.clone();
         order.rotate_left(turn);
         for report in &order {
-            quarantine.merge(report, 1);
+            quarantine.merge_report(report, 1);
         }
         assert!(is_refused(quarantine, CRASHING, 2), "{quarantine:?}");
     }
@@ -124,24 +127,24 @@
 fn a_report_has_an_effect_only_once() {
     let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
     record_crash_wave(&mut here, CRASHING, 3);
-    here.note_ended(ended(CRASHING, 4, true), 0);
-    here.note_ended(ended(CRASHING, 5, true), 0);
+    here.record_crash(crashed(CRASHING, 4, true), 0);
+    here.record_crash(crashed(CRASHING, 5, true), 0);
     let report = here.report(CRASHING, 0).unwrap();
-    assert_eq!(there.merge(&report, 40), Finding::Refused);
+    assert_eq!(there.merge_report(&report, 40), EvidenceEffect::Refused);
     let back = there.report(CRASHING, 40).unwrap();
-    assert_eq!(here.merge(&back, 80), Finding::Unchanged);
-    assert_eq!(there.merge(&report, 120), Finding::Unchanged);
+    assert_eq!(here.merge_report(&back, 80), EvidenceEffect::Unchanged);
+    assert_eq!(there.merge_report(&report, 120), EvidenceEffect::Unchanged);
 }
 
 #[test]
 fn a_refusal_expires_and_the_next_crash_renews_it_for_longer() {
     let mut quarantine = Quarantine::default();
     record_crash_wave(&mut quarantine, CRASHING, 3);
-    quarantine.note_ended(ended(CRASHING, 4, true), 0);
-    quarantine.note_ended(ended(CRASHING, 5, true), 0);
+    quarantine.record_crash(crashed(CRASHING, 4, true), 0);
+    quarantine.record_crash(crashed(CRASHING, 5, true), 0);
     let later = 6 * MINUTE_MS;
-    assert_eq!(quarantine.treatment(CRASHING, later), Treatment::OneByOne);
-    assert_eq!(quarantine.note_ended(ended(CRASHING, 6, true), later), Finding::Refused);
+    assert_eq!(quarantine.treatment(CRASHING, later), Treatment::OneReplicaAtATime);
+    assert_eq!(quarantine.record_crash(crashed(CRASHING, 6, true), later), EvidenceEffect::Refused);
     assert!(is_refused(&quarantine, CRASHING, later + 9 * MINUTE_MS));
     assert!(!is_refused(&quarantine, CRASHING, later + 11 * MINUTE_MS));
 }
@@ -151,24 +154,24 @@
 fn new_instances_do_not_renew_an_expired_refusal() {
     let (mut here, mut started) = (Quarantine::default(), Quarantine::default());
     record_crash_wave(&mut here, CRASHING, 3);
-    here.note_ended(ended(CRASHING, 4, true), 0);
-    here.note_ended(ended(CRASHING, 5, true), 0);
+    here.record_crash(crashed(CRASHING, 4, true), 0);
+    here.record_crash(crashed(CRASHING, 5, true), 0);
     let later = 6 * MINUTE_MS;
-    started.merge(&here.report(CRASHING, later).unwrap(), later);
-    assert_eq!(started.treatment(CRASHING, later), Treatment::OneByOne);
+    started.merge_report(&here.report(CRASHING, later).unwrap(), later);
+    assert_eq!(started.treatment(CRASHING, later), Treatment::OneReplicaAtATime);
 }
 
 #[test]
 fn records_expire() {
     let mut quarantine = Quarantine::default();
-    quarantine.note_ended(ended(INNOCENT, 1, false), 0);
+    quarantine.record_crash(crashed(INNOCENT, 1, false), 0);
     record_crash_wave(&mut quarantine, CRASHING, 3);
     // The next update removes expired records.
-    quarantine.note_ended(ended(Fingerprint(3), 1, false), MINUTE_MS);
-    assert_eq!(quarantine.treatment(CRASHING, MINUTE_MS), Treatment::OneByOne);
+    quarantine.record_crash(crashed(Fingerprint(3), 1, false), MINUTE_MS);
+    assert_eq!(quarantine.treatment(CRASHING, MINUTE_MS), Treatment::OneReplicaAtATime);
     assert_eq!(quarantine.len(), 2);
-    quarantine.note_ended(ended(Fingerprint(3), 2, false), 6 * MINUTE_MS);
-    assert_eq!(quarantine.treatment(CRASHING, 6 * MINUTE_MS), Treatment::Usual);
+    quarantine.record_crash(crashed(Fingerprint(3), 2, false), 6 * MINUTE_MS);
+    assert_eq!(quarantine.treatment(CRASHING, 6 * MINUTE_MS), Treatment::Normal);
     assert_eq!(quarantine.len(), 1);
 }
 
@@ -176,16 +179,16 @@
 fn records_are_bounded_and_refusals_are_evicted_last() {
     let mut quarantine = Quarantine::default();
     record_crash_wave(&mut quarantine, CRASHING, 3);
-    quarantine.note_ended(ended(CRASHING, 4, true), 0);
-    quarantine.note_ended(ended(CRASHING, 5, true), 0);
+    quarantine.record_crash(crashed(CRASHING, 4, true), 0);
+    quarantine.record_crash(crashed(CRASHING, 5, true), 0);
     for number in 0..10_000 {
-        quarantine.note_ended(ended(Fingerprint(100 + number), 1, false), SECOND_MS);
-        quarantine.note_ended(ended(Fingerprint(100 + number), 2, false), SECOND_MS);
+        quarantine.record_crash(crashed(Fingerprint(100 + number), 1, false), SECOND_MS);
+        quarantine.record_crash(crashed(Fingerprint(100 + number), 2, false), SECOND_MS);
     }
     assert!(quarantine.len() <= 256, "{}", quarantine.len());
     assert!(is_refused(&quarantine, CRASHING, SECOND_MS));
     for number in 0..10_000 {
-        quarantine.note_ended(ended(CRASHING, number, true), SECOND_MS);
+        quarantine.record_crash(crashed(CRASHING, number, true), SECOND_MS);
     }
     let report = quarantine.report(CRASHING, SECOND_MS).unwrap();
     assert!(report.encoded_len() <= 160, "{} bytes", report.encoded_len());
@@ -219,46 +222,46 @@
     }
 }
 
-fn lost(request: Fingerprint, is_tried: bool) -> Lost {
-    Lost { request, send: 7, is_tried }
+fn lost(request: Fingerprint, is_trial: bool) -> LostSend {
+    LostSend { request, send_id: 7, is_trial }
 }
 
 #[test]
 fn losses_wait_for_the_state_of_the_server() {
-    let mut losses = Losses::default();
-    assert_eq!(losses.add(1, lost(CRASHING, true), 0), Known::Unknown);
-    assert_eq!(losses.awaited(CRASHING), 1);
-    assert_eq!(losses.resolve(1, true, 3), [ended(CRASHING, 7, true)]);
-    assert_eq!(losses.awaited(CRASHING), 0);
+    let mut losses = LostSends::default();
+    assert_eq!(losses.record_loss(1, lost(CRASHING, true), 0), ServerState::Unknown);
+    assert_eq!(losses.pending_checks(CRASHING), 1);
+    assert_eq!(losses.record_server_state(1, true, 3), [crashed(CRASHING, 7, true)]);
+    assert_eq!(losses.pending_checks(CRASHING), 0);
     // A loss that is detected later belongs to the same crash.
-    let late = Known::HasEnded(ended(INNOCENT, 7, false));
-    assert_eq!(losses.add(1, lost(INNOCENT, false), 4), late);
+    let late = ServerState::Crashed(crashed(INNOCENT, 7, false));
+    assert_eq!(losses.record_loss(1, lost(INNOCENT, false), 4), late);
     // The server may have restarted by then.
-    assert_eq!(losses.add(1, lost(INNOCENT, false), SECOND_MS), Known::Unknown);
+    assert_eq!(losses.record_loss(1, lost(INNOCENT, false), SECOND_MS), ServerState::Unknown);
 }
 
 #[test]
 fn losses_at_a_running_server_are_no_evidence() {
-    let mut losses = Losses::default();
-    losses.add(1, lost(INNOCENT, true), 0);
-    assert_eq!(losses.resolve(1, false, 3), []);
-    assert_eq!(losses.add(1, lost(INNOCENT, true), 4), Known::Lives);
+    let mut losses = LostSends::default();
+    losses.record_loss(1, lost(INNOCENT, true), 0);
+    assert_eq!(losses.record_server_state(1, false, 3), []);
+    assert_eq!(losses.record_loss(1, lost(INNOCENT, true), 4), ServerState::Running);
 }
 
 #[test]
 fn a_trial_with_another_unanswered_request_is_not_isolated() {
-    let mut losses = Losses::default();
-    losses.add(1, lost(CRASHING, true), 0);
-    assert_eq!(losses.add(1, lost(INNOCENT, false), 0), Known::Awaited);
-    let both = [ended(CRASHING, 7, false), ended(INNOCENT, 7, false)];
-    assert_eq!(losses.resolve(1, true, 3), both);
+    let mut losses = LostSends::default();
+    losses.record_loss(1, lost(CRASHING, true), 0);
+    assert_eq!(losses.record_loss(1, lost(INNOCENT, false), 0), ServerState::Checking);
+    let both = [crashed(CRASHING, 7, false), crashed(INNOCENT, 7, false)];
+    assert_eq!(losses.record_server_state(1, true, 3), both);
 }
 
 #[test]
 fn an_answer_removes_the_losses_of_a_request() {
-    let mut losses = Losses::default();
-    losses.add(1, lost(CRASHING, true), 0);
-    losses.add(1, lost(INNOCENT, false), 0);
-    losses.answered(INNOCENT);
-    assert_eq!(losses.resolve(1, true, 3), [ended(CRASHING, 7, true)]);
+    let mut losses = LostSends::default();
+    losses.record_loss(1, lost(CRASHING, true), 0);
+    losses.record_loss(1, lost(INNOCENT, false), 0);
+    losses.discard_answered(INNOCENT);
+    assert_eq!(losses.record_server_state(1, true, 3), [crashed(CRASHING, 7, true)]);
 }
--- a/crates/decide/tests/restored_copies.rs
+++ b/crates/decide/tests/restored_copies.rs
@@ -38,7 +38,7 @@
             }
             5 => {
                 let from: usize = u.int_in_range(0..=1)?;
-                let changes = mirrors[from].since(mirrors[1 - from].position());
+                let changes = mirrors[from].changes_since(mirrors[1 - from].position());
                 mirrors[1 - from].apply(&changes, now_ms);
             }
             _ => {
@@ -46,10 +46,10 @@
                 mirrors[at].apply(&full_list((era, revision), store.clone()), now_ms);
             }
         }
-        let known = newest.since(Position::default()).objects;
+        let known = newest.changes_since(Position::default()).objects;
         newest.apply(&full_list((era, revision), store.clone()), now_ms);
         for before in known {
-            let kept = newest.since(Position::default()).objects;
+            let kept = newest.changes_since(Position::default()).objects;
             let kept = kept.iter().find(|o| o.name == before.name);
             assert!(kept.is_none_or(|o| o.edition >= before.edition), "{before:?} {kept:?}");
         }
@@ -63,7 +63,7 @@
         mirror.apply(&full_list((era, revision), store.clone()), now_ms);
         mirror.expire(now_ms + WITHHOLD_MS);
         let names: Vec<String> =
-            mirror.since(Position::default()).objects.into_iter().map(|o| o.name).collect();
+            mirror.changes_since(Position::default()).objects.into_iter().map(|o| o.name).collect();
         assert_eq!(names, listed);
     }
     Ok(())
@@ -117,7 +117,7 @@
         let deleted = self.deleted.iter().filter(|d| !is_whole && is_included(d.revision));
         let deleted = deleted.cloned().collect();
         Changes { as_of: self.revision, is_whole, objects, deleted, ..Changes::default() }
-            .in_era(self.era)
+            .with_era(self.era)
     }
 }
 
@@ -138,7 +138,7 @@
         let before = self.mirrors[at].position();
         let applied = self.mirrors[at].apply(changes, now_ms);
         let after = self.mirrors[at].position();
-        if at < WATCHERS && (applied.has_news() || before.era < after.era) {
+        if at < WATCHERS && (applied.needs_notification() || before.era < after.era) {
             self.announced[at] = after;
         }
     }
@@ -149,7 +149,7 @@
             for from in (0..WATCHERS).filter(|from| *from != at) {
                 let position = self.mirrors[at].position();
                 if self.announced[from] > position {
-                    let changes = self.mirrors[from].since(position);
+                    let changes = self.mirrors[from].changes_since(position);
                     self.apply(at, &changes, now_ms);
                 }
             }
@@ -194,7 +194,7 @@
     let mut expected: Vec<&str> = store.objects.iter().map(|o| o.name.as_str()).collect();
     expected.sort_unstable();
     for mirror in &fleet.mirrors {
-        let objects = mirror.since(Position::default()).objects;
+        let objects = mirror.changes_since(Position::default()).objects;
         let names: Vec<&str> = objects.iter().map(|o| o.name.as_str()).collect();
         assert_eq!(names, expected, "{store:?}");
     }
--- a/crates/decide/tests/spreading.rs
+++ b/crates/decide/tests/spreading.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-use eelgrasspier_decide::membership::{Datagram, Listed, Member, Membership, Send};
+use eelgrasspier_decide::membership::{
+    Datagram, ListedInstance, Member, Membership, OutgoingDatagram,
+};
 
 /// Time between two ticks, in milliseconds.
 const TICK_MS: u64 = 50;
@@ -30,12 +32,12 @@
     let elsewhere = (same_zone + 1..=same_zone + other_zone)
         .map(|n| member(n, ["b", "c", "d"][usize::from(n) % 3]));
     let all: Vec<Member> = others.chain(elsewhere).collect();
-    own.learn_table(&all, 0);
+    own.merge_table(&all, 0);
     (own, (1..=same_zone).map(addr).collect())
 }
 
 /// Returns the datagrams that it sends in a minute in which all instances answer.
-fn run_minute(own: &mut Membership) -> Vec<Send> {
+fn run_minute(own: &mut Membership) -> Vec<OutgoingDatagram> {
     let mut sent = Vec::new();
     for step in 1..=60_000 / TICK_MS {
         let now_ms = step * TICK_MS;
@@ -77,8 +79,8 @@
 fn a_table_is_merged_at_once_and_not_gossiped() {
     let (asked, _) = fleet(32, 162);
     let mut own = Membership::new(member(300, "a"));
-    own.learn_table(&asked.table(), 100);
-    assert_eq!(own.alive_count(), 196);
+    own.merge_table(&asked.live_records(), 100);
+    assert_eq!(own.live_count(), 196);
     let relayed: usize = run_minute(&mut own).iter().map(|s| s.datagram.members.len() - 1).sum();
     assert_eq!(relayed, 0);
 }
@@ -87,19 +89,22 @@
 fn a_table_does_not_replace_newer_records() {
     let (mut own, _) = fleet(2, 2);
     let newer = Member { revision: 7, config_version: 3, ..member(1, "a") };
-    own.learn_table(std::slice::from_ref(&newer), 10);
-    own.learn_table(&[member(1, "a")], 20);
-    assert!(own.others().any(|m| *m == newer));
+    own.merge_table(std::slice::from_ref(&newer), 10);
+    own.merge_table(&[member(1, "a")], 20);
+    assert!(own.peers().any(|m| *m == newer));
 }
 
 #[test]
 fn listed_alive_prefers_the_same_zone() {
     let (mut own, _) = fleet(5, 5);
-    assert_eq!(own.listed_alive(1), None);
-    let listed =
-        |m: Member| Listed { name: m.name, zone: m.zone, peer_addr: m.peer_addr.parse().unwrap() };
+    assert_eq!(own.pick_listed_live(1), None);
+    let listed = |m: Member| ListedInstance {
+        name: m.name,
+        zone: m.zone,
+        peer_addr: m.peer_addr.parse().unwrap(),
+    };
     own.set_listed(&[listed(member(3, "a")), listed(member(8, "d")), listed(member(9, "b"))]);
     for random in 0..20 {
-        assert_eq!(own.listed_alive(random), Some(addr(3)));
+        assert_eq!(own.pick_listed_live(random), Some(addr(3)));
     }
 }
--- a/crates/decide/tests/standing.rs
+++ b/crates/decide/tests/standing.rs
@@ -1,17 +1,17 @@
 //! State kept about a replica, and its decay.
 
-use eelgrasspier_decide::standing::{Standing, Told};
+use eelgrasspier_decide::standing::{ReplicaReport, ReplicaStats};
 
 const SLOTS: u32 = 2;
 
 #[test]
 fn a_slow_replica_costs_more_than_a_usual_one() {
-    let mut slow = Standing::default();
+    let mut slow = ReplicaStats::default();
     for turn in 0..10 {
-        slow.answered(60.0, 8.0, turn * 100);
+        slow.record_answer(60.0, 8.0, turn * 100);
     }
     assert!(slow.cost(SLOTS, 1_000) > 3.0);
-    assert!(Standing::default().cost(SLOTS, 1_000) < 1.1);
+    assert!(ReplicaStats::default().cost(SLOTS, 1_000) < 1.1);
 }
 
 /// Guards against latency ratios that do not decay. A replica that had been slow was not selected
@@ -19,9 +19,9 @@
 /// local replicas were healthy.
 #[test]
 fn latency_ratio_decays_within_seconds() {
-    let mut slow = Standing::default();
-    slow.answered(100.0, 5.0, 1_000);
-    slow.answered(100.0, 5.0, 1_100);
+    let mut slow = ReplicaStats::default();
+    slow.record_answer(100.0, 5.0, 1_000);
+    slow.record_answer(100.0, 5.0, 1_100);
     assert!(slow.cost(SLOTS, 1_101) > 2.0);
     assert!(slow.cost(SLOTS, 5_000) < 1.2);
 }
@@ -31,23 +31,23 @@
 /// first sends crossed zones although local replicas were healthy.
 #[test]
 fn one_pause_does_not_raise_the_cost_of_a_replica() {
-    let mut paused = Standing::default();
-    paused.answered(100.0, 5.0, 1_000);
-    paused.answered(80.0, 5.0, 1_001);
-    paused.answered(60.0, 5.0, 1_002);
+    let mut paused = ReplicaStats::default();
+    paused.record_answer(100.0, 5.0, 1_000);
+    paused.record_answer(80.0, 5.0, 1_001);
+    paused.record_answer(60.0, 5.0, 1_002);
     assert!(paused.cost(SLOTS, 1_003) < 1.1);
     // The next request was sent after the pause, so its slow answer shows that the replica is slow.
-    paused.answered(60.0, 5.0, 1_063);
+    paused.record_answer(60.0, 5.0, 1_063);
     assert!(paused.cost(SLOTS, 1_064) > 2.0);
 }
 
 #[test]
 fn consecutive_failures_add_growing_penalties_that_decay() {
-    let mut unreachable = Standing::default();
-    unreachable.failed(1_000);
+    let mut unreachable = ReplicaStats::default();
+    unreachable.record_failure(1_000);
     let once = unreachable.cost(SLOTS, 1_000);
-    unreachable.failed(1_000);
-    unreachable.failed(1_000);
+    unreachable.record_failure(1_000);
+    unreachable.record_failure(1_000);
     assert!(unreachable.cost(SLOTS, 1_000) > 4.0 * once);
     assert!(unreachable.cost(SLOTS, 8_000) < 1.5);
 }
@@ -56,13 +56,13 @@
 /// times the usual latency, more requests were sent to the paused replica and queued there.
 #[test]
 fn an_overdue_request_raises_the_cost_of_its_replica() {
-    let mut paused = Standing::default();
-    paused.sent(1_000, 8.0);
+    let mut paused = ReplicaStats::default();
+    paused.record_sent(1_000, 8.0);
     let soon = paused.cost(SLOTS, 1_005);
     assert!(!paused.is_overdue(1_005));
     assert!(paused.is_overdue(1_040));
     assert!(paused.cost(SLOTS, 1_040) > soon + 4.0);
-    paused.ended(1_000);
+    paused.record_end(1_000);
     assert!(!paused.is_overdue(1_040));
 }
 
@@ -71,24 +71,24 @@
 /// replica with a queue then looked slow, and its queue was ignored.
 #[test]
 fn expected_latency_accounts_for_queued_work_and_replica_speed() {
-    let mut busy = Standing::default();
+    let mut busy = ReplicaStats::default();
     for _ in 0..4 {
-        busy.sent_work(30.0, SLOTS, 1_000);
+        busy.record_sent_work(30.0, SLOTS, 1_000);
     }
     // Two requests run and two are queued: the next waits for three to end, two at a time.
-    assert!((busy.wait_ms(10.0, SLOTS, 1_000) - 45.0).abs() < 0.1);
-    assert!((busy.answer_ms(10.0, SLOTS, 1_000) - 55.0).abs() < 0.1);
+    assert!((busy.expected_wait_ms(10.0, SLOTS, 1_000) - 45.0).abs() < 0.1);
+    assert!((busy.expected_latency_ms(10.0, SLOTS, 1_000) - 55.0).abs() < 0.1);
     // An answer delayed by the queue alone does not change the latency ratio.
-    busy.answered(75.0, 75.0, 1_075);
-    busy.answered(75.0, 75.0, 1_175);
-    assert!((busy.answer_ms(10.0, SLOTS, 1_176) - 55.0).abs() < 0.1);
+    busy.record_answer(75.0, 75.0, 1_075);
+    busy.record_answer(75.0, 75.0, 1_175);
+    assert!((busy.expected_latency_ms(10.0, SLOTS, 1_176) - 55.0).abs() < 0.1);
 }
 
 #[test]
 fn reported_load_counts_until_the_report_is_stale() {
-    let mut shared = Standing::default();
-    shared.sent_work(30.0, SLOTS, 1_000);
-    shared.reported(5, 1_000);
+    let mut shared = ReplicaStats::default();
+    shared.record_sent_work(30.0, SLOTS, 1_000);
+    shared.record_reported_load(5, 1_000);
     assert!((shared.load(1_000) - 5.0).abs() < 0.1);
     assert!((shared.load(1_125) - 3.0).abs() < 0.1);
     assert!((shared.load(1_500) - 1.0).abs() < 0.1);
@@ -99,29 +99,29 @@
 /// requests at random got nothing, and the other replica of their shards was overloaded.
 #[test]
 fn a_replica_that_refuses_some_is_used_while_second_sends_can_be_paid() {
-    let mut shedding = Standing::default();
+    let mut shedding = ReplicaStats::default();
     for turn in 0..40_u64 {
         if turn % 2 == 0 {
-            shedding.shed(turn * 10);
+            shedding.record_shed(turn * 10);
         } else {
-            shedding.answered(10.0, 10.0, turn * 10);
+            shedding.record_answer(10.0, 10.0, turn * 10);
         }
     }
     // Costs as much as a queue of four while the budget lasts; rarely selected once it is spent.
-    assert!(shedding.doubt(0.0, 400) < 3.0);
-    assert!(shedding.doubt(1.0, 400) > 10.0);
+    assert!(shedding.penalty_cost(0.0, 400) < 3.0);
+    assert!(shedding.penalty_cost(1.0, 400) > 10.0);
     // The cost decays while nothing is sent, so the replica is tried again.
-    assert!(shedding.doubt(1.0, 6_000) < 1.0);
+    assert!(shedding.penalty_cost(1.0, 6_000) < 1.0);
 }
 
 #[test]
 fn a_peer_report_counts_until_it_is_stale() {
-    let mut replica = Standing::default();
-    replica.told(Told { load: 6, ratio: 5.0 }, 1_000);
+    let mut replica = ReplicaStats::default();
+    replica.apply_report(ReplicaReport { load: 6, ratio: 5.0 }, 1_000);
     assert!((replica.load(1_000) - 6.0).abs() < 0.1);
-    assert!(replica.answer_ms(10.0, SLOTS, 1_000) > 150.0);
-    assert!(replica.answer_ms(10.0, SLOTS, 6_000) < 11.0);
+    assert!(replica.expected_latency_ms(10.0, SLOTS, 1_000) > 150.0);
+    assert!(replica.expected_latency_ms(10.0, SLOTS, 6_000) < 11.0);
     // A lower ratio in a report does not override the local measurement.
-    replica.told(Told { load: 0, ratio: 1.0 }, 1_010);
+    replica.apply_report(ReplicaReport { load: 0, ratio: 1.0 }, 1_010);
     assert!(replica.ratio(1_010) > 4.0);
 }
--- a/crates/decide/tests/telling.rs
+++ b/crates/decide/tests/telling.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use eelgrasspier_decide::fingerprint::Fingerprint;
-use eelgrasspier_decide::losses::Ended;
-use eelgrasspier_decide::membership::{Member, Membership, Send, State};
+use eelgrasspier_decide::losses::CrashedSend;
+use eelgrasspier_decide::membership::{Member, Membership, OutgoingDatagram, State};
 use eelgrasspier_decide::quarantine::{Quarantine, Report};
 
 const CRASHING: Fingerprint = Fingerprint(1);
@@ -19,8 +19,8 @@
 /// Returns a report of a request that is refused.
 fn refused_report(request: Fingerprint) -> Report {
     let mut quarantine = Quarantine::default();
-    for send in 0..4 {
-        quarantine.note_ended(Ended { request, send, is_alone: send > 1 }, 0);
+    for send_id in 0..4 {
+        quarantine.record_crash(CrashedSend { request, send_id, is_isolated: send_id > 1 }, 0);
     }
     quarantine.report(request, 0).unwrap()
 }
@@ -28,8 +28,8 @@
 /// Returns a report of a request under which two replicas have crashed.
 fn suspect_report(request: Fingerprint) -> Report {
     let mut quarantine = Quarantine::default();
-    for send in 0..2 {
-        quarantine.note_ended(Ended { request, send, is_alone: false }, 0);
+    for send_id in 0..2 {
+        quarantine.record_crash(CrashedSend { request, send_id, is_isolated: false }, 0);
     }
     quarantine.report(request, 0).unwrap()
 }
@@ -37,7 +37,7 @@
 /// Instances that know each other, with the datagrams in flight between them.
 struct Network {
     nodes: BTreeMap<u16, Membership>,
-    in_flight: Vec<(u64, u16, Send)>,
+    in_flight: Vec<(u64, u16, OutgoingDatagram)>,
     now_ms: u64,
     /// Instance that can neither send nor receive.
     partitioned: Option<u16>,
@@ -58,14 +58,14 @@
         let table: Vec<Member> = (1..=count).map(member).collect();
         let node = |number: u16| {
             let mut membership = Membership::new(member(number));
-            membership.learn_table(&table, 0);
+            membership.merge_table(&table, 0);
             (number, membership)
         };
         let nodes = (1..=count).map(node).collect();
         Self { nodes, in_flight: Vec::new(), now_ms: 0, partitioned: None, sent: 0 }
     }
 
-    fn send(&mut self, from: u16, sends: Vec<Send>) {
+    fn send(&mut self, from: u16, sends: Vec<OutgoingDatagram>) {
         self.sent += sends.len();
         let reached = sends.into_iter().filter(|s| {
             self.partitioned.is_none_or(|number| number != from && number != s.to.port())
@@ -99,7 +99,7 @@
     fn broadcast(&mut self, from: u16, report: &Report, limits: (usize, usize)) -> usize {
         let now_ms = self.now_ms;
         let node = self.nodes.get_mut(&from).unwrap();
-        let sends = node.tell_reports(std::slice::from_ref(report), now_ms, limits, 7);
+        let sends = node.broadcast_reports(std::slice::from_ref(report), now_ms, limits, 7);
         let count = sends.len();
         self.send(from, sends);
         count
--- a/crates/eelgrasspier/src/control/claims.rs
+++ b/crates/eelgrasspier/src/control/claims.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use eelgrasspier_decide::claim::{Key, Nonce, Outcome};
+use eelgrasspier_decide::claim::{ClaimResult, Key, Nonce};
 use eelgrasspier_decide::membership::State;
 use eelgrasspier_decide::rendezvous;
 use eelgrasspier_peer::wire::{Body, Claim, ClaimOutcome, Claimed};
@@ -26,7 +26,7 @@
         key: Key,
         nonce: Nonce,
         until: Instant,
-    ) -> Result<Outcome, ClaimError> {
+    ) -> Result<ClaimResult, ClaimError> {
         if let Some(owner) = self.key_owner(key) {
             let half = until.saturating_duration_since(Instant::now()) / 2;
             if let Some(outcome) = self.claim_at_owner(owner, key, nonce, half).await {
@@ -49,7 +49,7 @@
     fn bucket_owner(&self, bucket: usize) -> Option<SocketAddr> {
         let membership = self.membership.borrow();
         let ready_members: Vec<_> =
-            membership.alive().filter(|m| m.state() == State::Ready).collect();
+            membership.live_peers().filter(|m| m.state() == State::Ready).collect();
         let mut keys: Vec<u64> = ready_members.iter().map(|m| m.key()).collect();
         keys.push(membership.own().key());
         let owner = rendezvous::owner(rendezvous::hash(OWNER_HASH_NAME) ^ bucket as u64, &keys)?;
@@ -62,7 +62,7 @@
         key: Key,
         nonce: Nonce,
         timeout: Duration,
-    ) -> Option<Outcome> {
+    ) -> Option<ClaimResult> {
         let time_left_ms = u64::try_from(timeout.as_millis()).unwrap_or(0);
         let claim = Claim {
             key_high: u64::try_from(key.0 >> HALF_BITS).unwrap_or_default(),
@@ -76,9 +76,9 @@
         };
         match claimed.outcome() {
             ClaimOutcome::Unresolved => None,
-            ClaimOutcome::Granted => Some(Outcome::Granted),
-            ClaimOutcome::Taken => Some(Outcome::Taken),
-            ClaimOutcome::Expired => Some(Outcome::Expired),
+            ClaimOutcome::Granted => Some(ClaimResult::Granted),
+            ClaimOutcome::Taken => Some(ClaimResult::Taken),
+            ClaimOutcome::Expired => Some(ClaimResult::Expired),
         }
     }
 
@@ -87,9 +87,9 @@
         let key = Key((u128::from(claim.key_high) << HALF_BITS) | u128::from(claim.key_low));
         let until = Instant::now() + Duration::from_millis(claim.time_left_ms);
         let outcome = match self.claims.claim_on_behalf(key, claim.nonce, until).await {
-            Ok(Outcome::Granted) => ClaimOutcome::Granted,
-            Ok(Outcome::Taken) => ClaimOutcome::Taken,
-            Ok(Outcome::Expired) => ClaimOutcome::Expired,
+            Ok(ClaimResult::Granted) => ClaimOutcome::Granted,
+            Ok(ClaimResult::Taken) => ClaimOutcome::Taken,
+            Ok(ClaimResult::Expired) => ClaimOutcome::Expired,
             Err(ClaimError::Unavailable) => ClaimOutcome::Unresolved,
         };
         Claimed { outcome: outcome as i32 }
--- a/crates/eelgrasspier/src/control/gauges.rs
+++ b/crates/eelgrasspier/src/control/gauges.rs
@@ -20,11 +20,11 @@
     }
 
     fn set_gauges(&self) {
-        let members = self.membership.borrow().alive_count();
+        let members = self.membership.borrow().live_count();
         let agreement = self.agreement.borrow();
         let version = self.in_force.borrow().version().unwrap_or(0);
         set_gauge("eelgrasspier_members", members as u64);
-        set_gauge("eelgrasspier_share_holders", agreement.current().len() as u64);
+        set_gauge("eelgrasspier_share_holders", agreement.current_members().len() as u64);
         set_gauge("eelgrasspier_share_agreed", u64::from(agreement.is_agreed()));
         set_gauge("eelgrasspier_text_version", version);
         set_gauge("eelgrasspier_servers_leaving", self.leaving.borrow().iter().count() as u64);
--- a/crates/eelgrasspier/src/control/members.rs
+++ b/crates/eelgrasspier/src/control/members.rs
@@ -6,7 +6,9 @@
 use std::time::{Duration, Instant};
 
 use eelgrasspier_decide::leaving::Server;
-use eelgrasspier_decide::membership::{Change, Datagram, LeavingServer, Listed, Send, State};
+use eelgrasspier_decide::membership::{
+    Datagram, LeavingServer, ListedInstance, MembershipChange, OutgoingDatagram, State,
+};
 use eelgrasspier_decide::share::Agreement;
 use futures_util::{Stream, StreamExt};
 
@@ -77,16 +79,17 @@
     fn contact_seeds(&self) {
         const CONTACT_ONE_IN: u64 = 10;
         let mut membership = self.membership.borrow_mut();
-        if membership.alive_count() > 1 || !rand::random::<u64>().is_multiple_of(CONTACT_ONE_IN) {
+        if membership.live_count() > 1 || !rand::random::<u64>().is_multiple_of(CONTACT_ONE_IN) {
             return;
         }
         let known = self.shared.settings.seeds.iter();
-        let sends: Vec<Send> = known.map(|&addr| membership.greet(addr)).collect();
+        let sends: Vec<OutgoingDatagram> =
+            known.map(|&addr| membership.probe_address(addr)).collect();
         drop(membership);
         self.send(sends);
     }
 
-    fn send(&self, sends: Vec<Send>) {
+    fn send(&self, sends: Vec<OutgoingDatagram>) {
         for mut send in sends {
             send.datagram.stamp = self.shared.timeline.clock().stamp();
             drop(self.outbox.send(send));
@@ -100,7 +103,7 @@
         for change in changes {
             self.on_member_change(change);
         }
-        let epoch = self.membership.borrow().epoch();
+        let epoch = self.membership.borrow().change_count();
         if self.processed_epoch.replace(epoch) == epoch && !has_changes {
             return;
         }
@@ -112,17 +115,22 @@
         self.fetch_newer_text();
     }
 
-    fn on_member_change(&self, change: Change) {
+    fn on_member_change(&self, change: MembershipChange) {
         match change {
             // The next view contains the new state; no event is recorded.
-            Change::State(_) => {}
-            Change::Reported(report) => self.shared.apply_peer_report(&report),
-            Change::Joined(name) => self.record(event::MEMBER_JOINED, &name, ""),
-            Change::Suspected(name) => self.record(event::MEMBER_SUSPECT, &name, ""),
-            Change::Died(name) => self.record(event::MEMBER_DEAD, &name, ""),
-            Change::Left(name) => self.record(event::MEMBER_LEFT, &name, ""),
-            Change::Refuted => self.record(event::REFUTED, &self.shared.settings.name, ""),
-            Change::ServerLeaving(LeavingServer { replica, incarnation }) => {
+            MembershipChange::StateChanged(_) => {}
+            MembershipChange::ReportReceived(report) => self.shared.apply_peer_report(&report),
+            MembershipChange::Joined(name) => self.record(event::MEMBER_JOINED, &name, ""),
+            MembershipChange::Suspected(name) => self.record(event::MEMBER_SUSPECT, &name, ""),
+            MembershipChange::DeclaredDead(name) => self.record(event::MEMBER_DEAD, &name, ""),
+            MembershipChange::Left(name) => self.record(event::MEMBER_LEFT, &name, ""),
+            MembershipChange::Refuted => {
+                self.record(event::REFUTED, &self.shared.settings.name, "")
+            }
+            MembershipChange::ServerLeaving(LeavingServer {
+                address_hash: replica,
+                incarnation,
+            }) => {
                 self.on_server_leaving(Server { replica, incarnation });
             }
         }
@@ -135,17 +143,17 @@
         }
         let mut membership = self.membership.borrow_mut();
         let mut agreement = self.agreement.borrow_mut();
-        let before = agreement.bounds();
-        agreement.set_members(&membership.holders());
-        for member in membership.others() {
-            agreement.heard(member.key(), member.share_digest);
+        let before = agreement.bounding_lists();
+        agreement.set_members(&membership.possible_connection_holders());
+        for member in membership.peers() {
+            agreement.on_announcement(member.key(), member.share_digest);
         }
         let digest = agreement.digest();
         membership.update_own(|m| m.share_digest = digest);
-        let has_changed_shares = agreement.bounds() != before;
+        let has_changed_shares = agreement.bounding_lists() != before;
         if has_changed_shares {
             let about = &self.shared.settings.name;
-            let lists = agreement.bounds();
+            let lists = agreement.bounding_lists();
             let sizes: Vec<String> = lists.iter().map(|l| l.len().to_string()).collect();
             self.record(
                 event::SHARE_CHANGED,
@@ -165,7 +173,7 @@
     /// the earlier one. During an outage of the platform, a peer that is ready knows the others.
     fn can_agree(&self) -> bool {
         let membership = self.membership.borrow();
-        self.is_listed.get() || membership.alive().any(|m| m.state() == State::Ready)
+        self.is_listed.get() || membership.live_peers().any(|m| m.state() == State::Ready)
     }
 
     /// Records that a backend server is leaving and announces it to the other instances.
@@ -175,8 +183,8 @@
             return;
         }
         let Server { replica, incarnation } = server;
-        let announcement = LeavingServer { replica, incarnation };
-        self.membership.borrow_mut().spread_leaving(announcement);
+        let announcement = LeavingServer { address_hash: replica, incarnation };
+        self.membership.borrow_mut().announce_server_leaving(announcement);
         self.record(event::SERVER_LEAVING, &self.server_name(replica), "");
         self.publish();
     }
@@ -195,11 +203,11 @@
             self.record_platform_state(read.is_ok());
             self.check_era();
             if let Ok(list) = read {
-                let listed: Vec<Listed> = list
+                let listed: Vec<ListedInstance> = list
                     .into_iter()
                     .filter_map(|l| {
                         let peer_addr = l.peer_addr.parse().ok()?;
-                        Some(Listed { name: l.name, zone: l.zone, peer_addr })
+                        Some(ListedInstance { name: l.name, zone: l.zone, peer_addr })
                     })
                     .collect();
                 self.membership.borrow_mut().set_listed(&listed);
@@ -232,7 +240,7 @@
         if !self.is_listed.get() {
             return UNLISTED_POLL_INTERVAL;
         }
-        let count = u32::try_from(self.membership.borrow().alive_count()).unwrap_or(u32::MAX);
+        let count = u32::try_from(self.membership.borrow().live_count()).unwrap_or(u32::MAX);
         let interval = MIN_LIST_INTERVAL.max(LIST_INTERVAL_PER_INSTANCE.saturating_mul(count));
         interval.mul_f64(rand::random_range(0.75..1.25))
     }
--- a/crates/eelgrasspier/src/control/mod.rs
+++ b/crates/eelgrasspier/src/control/mod.rs
@@ -12,9 +12,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use eelgrasspier_decide::config::InForce;
+use eelgrasspier_decide::config::ConfigInForce;
 use eelgrasspier_decide::leaving::Leaving;
-use eelgrasspier_decide::membership::{Member, Membership, Send, State};
+use eelgrasspier_decide::membership::{Member, Membership, OutgoingDatagram, State};
 use eelgrasspier_decide::prelude::Services;
 use eelgrasspier_decide::quarantine::Report;
 use eelgrasspier_decide::share::Agreement;
@@ -40,12 +40,12 @@
     claims: Claims,
     membership: RefCell<Membership>,
     agreement: RefCell<Agreement>,
-    in_force: RefCell<InForce>,
+    in_force: RefCell<ConfigInForce>,
     services: RefCell<Arc<Services>>,
     /// Stored text object in force, sent to other instances on request.
     stored: RefCell<Option<bytes::Bytes>>,
     leaving: RefCell<Leaving>,
-    outbox: mpsc::UnboundedSender<Send>,
+    outbox: mpsc::UnboundedSender<OutgoingDatagram>,
     state: Cell<State>,
     serial: Cell<u64>,
     last_activity: Cell<Instant>,
@@ -170,7 +170,7 @@
         let limits = (MAX_DIRECT_SENDS, MAX_DIRECT_SENDS);
         let now_ms = self.shared.now_ms();
         let mut membership = self.membership.borrow_mut();
-        for send in membership.tell_reports(&[report], now_ms, limits, rand::random()) {
+        for send in membership.broadcast_reports(&[report], now_ms, limits, rand::random()) {
             drop(self.outbox.send(send));
         }
     }
@@ -185,7 +185,7 @@
     /// Announces that all connections are closed, so that other instances can use the freed share.
     fn announce_left(&self, reply: oneshot::Sender<()>) {
         self.set_state(State::Left);
-        for send in self.membership.borrow_mut().farewell(
+        for send in self.membership.borrow_mut().broadcast_own_record(
             MAX_DIRECT_SENDS,
             MAX_DIRECT_SENDS,
             rand::random(),
@@ -211,7 +211,7 @@
             version: self.in_force.borrow().version(),
             services: Arc::clone(&self.services.borrow()),
             own_key: self.membership.borrow().own().key(),
-            share_bounds: self.agreement.borrow().bounds(),
+            share_bounds: self.agreement.borrow().bounding_lists(),
             leaving: self.leaving.borrow().clone(),
             peers: self.peers(),
             state: self.state.get(),
@@ -226,12 +226,14 @@
     /// instance has the newest version known to any member.
     fn can_serve(&self) -> bool {
         let membership = self.membership.borrow();
-        if membership.alive().any(|m| self.needs_confirmation_from(m)) {
+        if membership.live_peers().any(|m| self.needs_confirmation_from(m)) {
             return false;
         }
-        let newest = membership.alive().map(|m| m.config_version).max();
+        let newest = membership.live_peers().map(|m| m.config_version).max();
         let version = self.in_force.borrow().version();
-        version.is_some() && version >= newest && !self.agreement.borrow().bounds().is_empty()
+        version.is_some()
+            && version >= newest
+            && !self.agreement.borrow().bounding_lists().is_empty()
     }
 
     fn peers(&self) -> Vec<Peer> {
@@ -240,7 +242,7 @@
             let is_ready = m.state() == State::Ready;
             Some(Peer { key: m.key(), addr: m.peer_addr.parse().ok()?, is_ready })
         };
-        membership.alive().filter(|m| m.state() <= State::Ready).filter_map(peer).collect()
+        membership.live_peers().filter(|m| m.state() <= State::Ready).filter_map(peer).collect()
     }
 
     fn record(&self, event: crate::event::Event, about: &str, detail: &str) {
--- a/crates/eelgrasspier/src/control/status.rs
+++ b/crates/eelgrasspier/src/control/status.rs
@@ -30,8 +30,8 @@
             zone: own.zone.clone(),
             state: state_name(own),
             config_version: self.in_force.borrow().version(),
-            members: membership.alive_count(),
-            holders: agreement.current().len(),
+            members: membership.live_count(),
+            holders: agreement.current_members().len(),
             is_share_agreed: agreement.is_agreed(),
             leaving_servers: self.leaving.borrow().iter().count(),
             snapshots: snapshots.clone(),
@@ -42,7 +42,7 @@
     ///
     /// Instances that do not answer are listed as `unreachable`.
     pub(super) async fn all_status(&self) -> Vec<InstanceStatus> {
-        let others: Vec<Member> = self.membership.borrow().alive().cloned().collect();
+        let others: Vec<Member> = self.membership.borrow().live_peers().cloned().collect();
         let requests = others.iter().map(|member| async move {
             let answer = self.request_json(member, Body::StatusAsk(Nothing {})).await;
             answer.unwrap_or_else(|| unreachable_status(member))
@@ -56,7 +56,7 @@
 
     /// Returns the events of every live instance, ordered by stamp.
     pub(super) async fn all_events(&self, about: &str, from_stamp: u64) -> Vec<TimelineEntry> {
-        let others: Vec<Member> = self.membership.borrow().alive().cloned().collect();
+        let others: Vec<Member> = self.membership.borrow().live_peers().cloned().collect();
         let requests = others.iter().map(|member| {
             let ask = EventsAsk { about: about.to_owned(), from_stamp };
             self.request_json::<Vec<TimelineEntry>>(member, Body::EventsAsk(ask))
