--- a/crates/eelgrasspier/src/control/text.rs
+++ b/crates/eelgrasspier/src/control/text.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use eelgrasspier_decide::config::{self, Edit, Offered, Submission};
+use eelgrasspier_decide::config::{self, Edit, OfferResult, Submission};
 use eelgrasspier_decide::history::Position;
 use eelgrasspier_decide::membership::{Member, State};
 use eelgrasspier_decide::prelude::Services;
@@ -60,7 +60,7 @@
                     is_first = false;
                     backoff.reset();
                     if let Some(Object { version, value }) = object
-                        && self.apply_text(version, value, "platform") == Offered::Outdated
+                        && self.apply_text(version, value, "platform") == OfferResult::StoreOutdated
                     {
                         self.rewrite_text(version).await;
                     }
@@ -74,7 +74,7 @@
     fn is_watcher(&self) -> bool {
         let membership = self.membership.borrow();
         let own = membership.own();
-        let same_zone = membership.alive().filter(|m| m.zone == own.zone);
+        let same_zone = membership.live_peers().filter(|m| m.zone == own.zone);
         let keys: Vec<u64> =
             same_zone.chain([own]).map(eelgrasspier_decide::membership::Member::key).collect();
         let key = rendezvous::hash(TEXT_OBJECT);
@@ -83,7 +83,7 @@
 
     /// Waits until the next poll is due or this instance becomes a watcher.
     async fn wait_for_poll(&self) {
-        let count = u32::try_from(self.membership.borrow().alive_count()).unwrap_or(u32::MAX);
+        let count = u32::try_from(self.membership.borrow().live_count()).unwrap_or(u32::MAX);
         let pause = MIN_POLL_INTERVAL.max(POLL_INTERVAL_PER_INSTANCE.saturating_mul(count));
         let until = Instant::now() + pause.mul_f64(rand::random_range(0.75..1.25));
         while !self.is_watcher() {
@@ -95,11 +95,11 @@
     }
 
     /// Puts a stored text in force if it is newer than the current one.
-    pub(super) fn apply_text(&self, version: u64, value: Bytes, source: &str) -> Offered {
+    pub(super) fn apply_text(&self, version: u64, value: Bytes, source: &str) -> OfferResult {
         if self.in_force.borrow().version() == Some(version) {
-            return Offered::Known;
+            return OfferResult::NotNewer;
         }
-        let about = format!("version {}", Position::from_number(version));
+        let about = format!("version {}", Position::from_packed(version));
         let parsed = StoredText::decode(value.clone()).map_err(|e| e.to_string()).and_then(|s| {
             Services::try_from(s.text.as_str()).map_err(|e| e.to_string()).map(|r| (s, r))
         });
@@ -107,21 +107,21 @@
             Ok(parsed) => parsed,
             Err(errors) => {
                 self.record(event::TEXT_BROKEN, &about, &errors);
-                return Offered::Known;
+                return OfferResult::NotNewer;
             }
         };
         let before = self.in_force.borrow().version();
         let offered = self.in_force.borrow_mut().offer(version, &stored.remembered());
         match &offered {
-            Offered::Taken { lost } => self.record_lost_edits(lost, &about),
-            Offered::Known => {
+            OfferResult::Accepted { lost } => self.record_lost_edits(lost, &about),
+            OfferResult::NotNewer => {
                 if before > Some(version) {
                     let detail = format!("from {source}, version in force {before:?}");
                     self.record(event::TEXT_STALE, &about, &detail);
                 }
                 return offered;
             }
-            Offered::Outdated => {
+            OfferResult::StoreOutdated => {
                 let detail = format!("from {source}, version in force {before:?}; rewriting it");
                 self.record(event::TEXT_STALE, &about, &detail);
                 return offered;
@@ -162,7 +162,7 @@
             }
             Err(error) => self.record(
                 event::TEXT_STALE,
-                &format!("version {}", Position::from_number(stored_version)),
+                &format!("version {}", Position::from_packed(stored_version)),
                 &format!("rewrite failed: {error}"),
             ),
         }
@@ -173,7 +173,7 @@
         let own = self.in_force.borrow().version().unwrap_or(0);
         let membership = self.membership.borrow();
         let is_wanted = |m: &&Member| m.config_version > own || self.needs_confirmation_from(m);
-        let newest = membership.alive().filter(is_wanted).max_by_key(|m| m.config_version);
+        let newest = membership.live_peers().filter(is_wanted).max_by_key(|m| m.config_version);
         let Some(member) = newest else { return };
         // The local text may come from a restored platform and be older despite a higher version.
         let own = if member.config_version > own { own } else { 0 };
@@ -246,7 +246,7 @@
             None => (0, StoredText::default()),
             Some(Object { version, value }) => {
                 let stored = StoredText::decode(value.clone()).map_err(|e| e.to_string())?;
-                if self.apply_text(version, value, "platform") == Offered::Outdated {
+                if self.apply_text(version, value, "platform") == OfferResult::StoreOutdated {
                     self.rewrite_text(version).await;
                     return Err("the restored platform holds an older text".to_owned());
                 }
@@ -266,7 +266,7 @@
             base: submitted.base,
             submitter: submitted.submitter.clone(),
         });
-        let surplus = stored.edits.len().saturating_sub(config::REMEMBERED_EDITS);
+        let surplus = stored.edits.len().saturating_sub(config::MAX_RECENT_EDITS);
         stored.edits.drain(..surplus);
         let value = Bytes::from(stored.encode_to_vec());
         let expected = (version > 0).then_some(version);
--- a/crates/eelgrasspier/src/crash_tracker.rs
+++ b/crates/eelgrasspier/src/crash_tracker.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use eelgrasspier_decide::fingerprint::Fingerprint;
-use eelgrasspier_decide::losses::{Known, Lost};
+use eelgrasspier_decide::losses::{LostSend, ServerState};
 use eelgrasspier_decide::quarantine::Treatment;
 use eelgrasspier_decide::relays;
 
@@ -70,7 +70,7 @@
     pub(crate) fn should_defer(&self) -> bool {
         !self.is_answered.get()
             && (self.loss_count.get() >= MIN_LOSSES_TO_DEFER
-                || self.treatment() != Treatment::Usual)
+                || self.treatment() != Treatment::Normal)
     }
 
     /// Records that a server has answered the request.
@@ -87,9 +87,9 @@
         }
         self.loss_count.set(self.loss_count.get() + 1);
         let (server, addr) = (replica.spec.id, replica.spec.addr);
-        let send = relays::mark(&format!("{} {server}", self.request_id));
-        let lost = Lost { request: self.fingerprint, send, is_tried: self.is_trial.get() };
-        if self.shared.record_loss(server, lost) != Known::Unknown {
+        let send_id = relays::mark(&format!("{} {server}", self.request_id));
+        let lost = LostSend { request: self.fingerprint, send_id, is_trial: self.is_trial.get() };
+        if self.shared.record_loss(server, lost) != ServerState::Unknown {
             return;
         }
         let shared = SharedRef::clone(&self.shared);
--- a/crates/eelgrasspier/src/forward.rs
+++ b/crates/eelgrasspier/src/forward.rs
@@ -190,7 +190,7 @@
     let request_id: Rc<str> = parts.request_id.as_str().into();
     let scope = (parts.service.as_str(), QUERY_KIND);
     let crash_tracker = CrashTracker::new(&traffic.shared, scope, &parts.body, &request_id);
-    if crash_tracker.treatment() != Treatment::Usual && !parts.is_trial {
+    if crash_tracker.treatment() != Treatment::Normal && !parts.is_trial {
         // The requesting instance runs the isolated trial.
         return all_missed_reply(&parts.shards, &MissReason::Deferred);
     }
--- a/crates/eelgrasspier/src/gather.rs
+++ b/crates/eelgrasspier/src/gather.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use eelgrasspier_decide::admission::Ending;
+use eelgrasspier_decide::admission::LoadSignal;
 use eelgrasspier_decide::prelude::ShardId;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -30,14 +30,14 @@
     }
 
     /// Returns the outcome that admission control uses to adapt its limit.
-    pub(crate) fn load_ending(&self) -> Ending {
+    pub(crate) fn load_ending(&self) -> LoadSignal {
         let has = |wanted: &MissReason| self.missed.iter().any(|(_, miss)| miss == wanted);
         if has(&MissReason::Shed) {
-            Ending::Shed
+            LoadSignal::Shed
         } else if has(&MissReason::Late) {
-            Ending::Late
+            LoadSignal::Late
         } else {
-            Ending::InTime
+            LoadSignal::InTime
         }
     }
 
--- a/crates/eelgrasspier/src/part.rs
+++ b/crates/eelgrasspier/src/part.rs
@@ -199,7 +199,7 @@
                 forward::pick_peer(context, self.shard, &self.tried)
             }
         };
-        if (!is_local && peer.is_none()) || !context.service.hedges.borrow_mut().spend() {
+        if (!is_local && peer.is_none()) || !context.service.hedges.borrow_mut().try_take() {
             return;
         }
         match peer {
@@ -222,7 +222,7 @@
     fn handle_failure(&mut self, failure: PartFailure) -> Result<(), MissReason> {
         let is_deferred = self.context.crash_tracker.should_defer();
         let may_retry = failure.is_retryable() && !is_deferred && !self.candidates().is_empty();
-        if may_retry && self.context.service.retries.borrow_mut().spend() {
+        if may_retry && self.context.service.retries.borrow_mut().try_take() {
             self.start_exchange(Cause::Retry);
         }
         if !self.in_flight.is_empty() || self.remote_hedge.is_some() {
--- a/crates/eelgrasspier/src/quarantine.rs
+++ b/crates/eelgrasspier/src/quarantine.rs
@@ -3,8 +3,8 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use eelgrasspier_decide::fingerprint::Fingerprint;
-use eelgrasspier_decide::losses::{Ended, Known, Losses, Lost};
-use eelgrasspier_decide::quarantine::{Finding, Quarantine, Report, Treatment};
+use eelgrasspier_decide::losses::{CrashedSend, LostSend, LostSends, ServerState};
+use eelgrasspier_decide::quarantine::{EvidenceEffect, Quarantine, Report, Treatment};
 
 use crate::event;
 use crate::shared::{ControlRequest, Shared};
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct QuarantineState {
     requests: Mutex<Quarantine>,
-    losses: Mutex<Losses>,
+    losses: Mutex<LostSends>,
 }
 
 /// Locks a mutex; it is held for a few microseconds at a time.
@@ -29,15 +29,15 @@
 
     /// Records that a server has answered a request.
     pub(crate) fn record_answer(&self, request: Fingerprint) {
-        lock(&self.quarantine.losses).answered(request);
-        let finding = lock(&self.quarantine.requests).note_answered(request, self.now_ms());
+        lock(&self.quarantine.losses).discard_answered(request);
+        let finding = lock(&self.quarantine.requests).record_answer(request, self.now_ms());
         self.publish_finding(request, finding);
     }
 
     /// Records that a server lost an unanswered request; returns what is known about the server.
-    pub(crate) fn record_loss(&self, server: u64, lost: Lost) -> Known {
-        let status = lock(&self.quarantine.losses).add(server, lost, self.now_ms());
-        if let Known::HasEnded(ended) = status {
+    pub(crate) fn record_loss(&self, server: u64, lost: LostSend) -> ServerState {
+        let status = lock(&self.quarantine.losses).record_loss(server, lost, self.now_ms());
+        if let ServerState::Crashed(ended) = status {
             self.record_crash(ended);
         }
         status
@@ -45,7 +45,8 @@
 
     /// Records whether a server that lost requests has crashed.
     pub(crate) fn record_crash_check(&self, server: u64, has_crashed: bool) {
-        let ended = lock(&self.quarantine.losses).resolve(server, has_crashed, self.now_ms());
+        let ended =
+            lock(&self.quarantine.losses).record_server_state(server, has_crashed, self.now_ms());
         for ended in ended {
             self.record_crash(ended);
         }
@@ -53,7 +54,7 @@
 
     /// Returns the number of servers that lost the request and are still being checked for a crash.
     pub(crate) fn pending_crash_checks(&self, request: Fingerprint) -> usize {
-        lock(&self.quarantine.losses).awaited(request)
+        lock(&self.quarantine.losses).pending_checks(request)
     }
 
     /// Starts an isolated trial for `max_ms` at most; returns false if another one is in progress.
@@ -68,18 +69,18 @@
 
     /// Merges a report from another instance.
     pub(crate) fn apply_peer_report(&self, report: &Report) {
-        let finding = lock(&self.quarantine.requests).merge(report, self.now_ms());
+        let finding = lock(&self.quarantine.requests).merge_report(report, self.now_ms());
         self.record_finding(Fingerprint(report.fingerprint), finding, "another instance");
     }
 
-    fn record_crash(&self, ended: Ended) {
-        let finding = lock(&self.quarantine.requests).note_ended(ended, self.now_ms());
+    fn record_crash(&self, ended: CrashedSend) {
+        let finding = lock(&self.quarantine.requests).record_crash(ended, self.now_ms());
         self.publish_finding(ended.request, finding);
     }
 
     /// Records a local finding and sends it to the other instances.
-    fn publish_finding(&self, request: Fingerprint, finding: Finding) {
-        if finding == Finding::Unchanged {
+    fn publish_finding(&self, request: Fingerprint, finding: EvidenceEffect) {
+        if finding == EvidenceEffect::Unchanged {
             return;
         }
         self.record_finding(request, finding, "own");
@@ -90,12 +91,12 @@
         }
     }
 
-    fn record_finding(&self, request: Fingerprint, finding: Finding, source: &str) {
+    fn record_finding(&self, request: Fingerprint, finding: EvidenceEffect, source: &str) {
         let event = match finding {
-            Finding::Unchanged | Finding::Noted => return,
-            Finding::Suspected => event::REQUEST_SUSPECTED,
-            Finding::Refused => event::REQUEST_REFUSED,
-            Finding::Cleared => event::REQUEST_CLEARED,
+            EvidenceEffect::Unchanged | EvidenceEffect::Recorded => return,
+            EvidenceEffect::Suspected => event::REQUEST_SUSPECTED,
+            EvidenceEffect::Refused => event::REQUEST_REFUSED,
+            EvidenceEffect::Cleared => event::REQUEST_CLEARED,
         };
         let report = lock(&self.quarantine.requests).report(request, self.now_ms());
         let Report { ended, ended_alone, refused_ms, .. } = report.unwrap_or_default();
--- a/crates/eelgrasspier/src/query.rs
+++ b/crates/eelgrasspier/src/query.rs
@@ -195,7 +195,7 @@
 async fn gather_with_quarantine(context: &PartContext, wanted: &[ShardId]) -> GatherResult {
     let crash_tracker = &context.crash_tracker;
     let mut gathered = GatherResult::default();
-    if crash_tracker.treatment() == Treatment::Usual {
+    if crash_tracker.treatment() == Treatment::Normal {
         gathered = gather(context, wanted).await;
     } else {
         gathered.defer(wanted.iter().copied());
@@ -210,7 +210,7 @@
             crash_tracker.wait_for_crash_checks().await;
         }
         let treatment = crash_tracker.treatment();
-        if crash_tracker.is_answered() || treatment == Treatment::Usual {
+        if crash_tracker.is_answered() || treatment == Treatment::Normal {
             gathered.merge(gather(context, &deferred).await);
             continue;
         }
--- a/crates/eelgrasspier/src/run.rs
+++ b/crates/eelgrasspier/src/run.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use eelgrasspier_backend::{Kind, PartFailure, PartRequest};
 use eelgrasspier_caller::{RunAnswer, RunCall};
-use eelgrasspier_decide::claim::{Attempt, Nonce, Outcome};
+use eelgrasspier_decide::claim::{Attempt, ClaimResult, Nonce};
 use eelgrasspier_decide::prelude::{Refusal, RefusalReason, ShardId, Verdict};
 use eelgrasspier_decide::quarantine::Treatment;
 use eelgrasspier_decide::replica::{self, Candidate};
@@ -53,7 +53,7 @@
 
 impl Drop for ClaimGuard<'_> {
     fn drop(&mut self) {
-        if self.attempt == Attempt::Holding {
+        if self.attempt == Attempt::Claimed {
             let ask = ControlRequest::Release { key: self.run.call.key, nonce: self.nonce };
             drop(self.traffic.shared.control.send(ask));
         }
@@ -74,7 +74,8 @@
             return Err(Refusal::not_run(RefusalReason::EndsReplicas, Some(left_ms)));
         }
         // A run goes to a single server anyway, so it needs no further isolation.
-        let trial = (treatment == Treatment::OneByOne).then(|| crash_tracker.enter_trial());
+        let trial =
+            (treatment == Treatment::OneReplicaAtATime).then(|| crash_tracker.enter_trial());
         let call = &self.call.call;
         let admitted = self.service.admit(&call.team, call.weight, self.deadline, epoch_ms).await?;
         let result = self.claim_and_send(traffic, &crash_tracker).await;
@@ -115,7 +116,7 @@
             if Instant::now() >= self.deadline {
                 return Err(Refusal::not_run(RefusalReason::TooLate, Some(REPLICA_RETRY_AFTER_MS)));
             }
-            let Some(sent) = claim.attempt.send() else {
+            let Some(sent) = claim.attempt.use_permission() else {
                 return Err(Refusal::may_have_run(RefusalReason::AlreadyClaimed));
             };
             claim.attempt = sent;
@@ -131,7 +132,7 @@
                     return Ok(RunAnswer { request_id, body: answer.body });
                 }
                 Err(PartFailure::NotReached(_)) => {
-                    claim.attempt = claim.attempt.not_sent();
+                    claim.attempt = claim.attempt.restore_permission();
                     permit = self.acquire_permit(traffic, Some(replica.spec.id)).await?;
                 }
                 Err(failure) => {
@@ -153,11 +154,12 @@
             .call_control(|reply| ControlRequest::Claim { key, nonce, until, reply })
             .await;
         let outcome = answer.unwrap_or(Err(ClaimError::Unavailable));
-        let attempt = outcome.as_ref().map_or(Attempt::GivenUp, |o| Attempt::Claiming.resolved(*o));
+        let attempt =
+            outcome.as_ref().map_or(Attempt::Abandoned, |o| Attempt::Claiming.with_outcome(*o));
         match outcome {
-            Ok(Outcome::Granted) => Ok(ClaimGuard { run: self, traffic, nonce, attempt }),
-            Ok(Outcome::Taken) => Err(Refusal::may_have_run(RefusalReason::AlreadyClaimed)),
-            Ok(Outcome::Expired) => Err(Refusal::may_have_run(RefusalReason::KeyExpired)),
+            Ok(ClaimResult::Granted) => Ok(ClaimGuard { run: self, traffic, nonce, attempt }),
+            Ok(ClaimResult::Taken) => Err(Refusal::may_have_run(RefusalReason::AlreadyClaimed)),
+            Ok(ClaimResult::Expired) => Err(Refusal::may_have_run(RefusalReason::KeyExpired)),
             Err(ClaimError::Unavailable) => {
                 Err(Refusal::not_run(RefusalReason::ClaimUnavailable, Some(CLAIM_RETRY_AFTER_MS)))
             }
@@ -256,7 +258,7 @@
 /// The claim is released if the request was certainly not executed.
 fn refusal_for(claim: &mut ClaimGuard<'_>, failure: &PartFailure) -> Refusal {
     if failure.verdict() == Verdict::NotRun {
-        claim.attempt = claim.attempt.not_sent();
+        claim.attempt = claim.attempt.restore_permission();
         return Refusal::not_run(RefusalReason::Overloaded, Some(REPLICA_RETRY_AFTER_MS));
     }
     match failure {
--- a/crates/eelgrasspier/src/service.rs
+++ b/crates/eelgrasspier/src/service.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use eelgrasspier_decide::admission::{Decision, Ended, Ending, Gate, Resolved, Ticket};
-use eelgrasspier_decide::budget::Budget;
+use eelgrasspier_decide::admission::{Completion, Decision, Gate, LoadSignal, Resolution, Ticket};
+use eelgrasspier_decide::budget::TokenBucket;
 use eelgrasspier_decide::hedge::Quantile;
 use eelgrasspier_decide::leaving::Leaving;
 use eelgrasspier_decide::prelude::{Refusal, RefusalReason, Service, ShardId};
@@ -30,8 +30,8 @@
     pub(crate) name: Rc<str>,
     pub(crate) shards: Vec<Vec<Rc<Replica>>>,
     pub(crate) latency: RefCell<Quantile>,
-    pub(crate) hedges: RefCell<Budget>,
-    pub(crate) retries: RefCell<Budget>,
+    pub(crate) hedges: RefCell<TokenBucket>,
+    pub(crate) retries: RefCell<TokenBucket>,
     admission: RefCell<Gate>,
     waiters: RefCell<HashMap<Ticket, oneshot::Sender<Result<(), Refusal>>>>,
     catalogue: RefCell<Rc<Catalogue>>,
@@ -44,8 +44,8 @@
             name: spec.name.as_str().into(),
             shards,
             latency: RefCell::default(),
-            hedges: RefCell::new(Budget::new(spec.hedge_percent, MAX_SAVED_HEDGES)),
-            retries: RefCell::new(Budget::new(RETRY_PERCENT, MAX_SAVED_RETRIES)),
+            hedges: RefCell::new(TokenBucket::new(spec.hedge_percent, MAX_SAVED_HEDGES)),
+            retries: RefCell::new(TokenBucket::new(RETRY_PERCENT, MAX_SAVED_RETRIES)),
             admission: RefCell::new(Gate::new(1)),
             waiters: RefCell::default(),
             catalogue: RefCell::default(),
@@ -60,7 +60,7 @@
             shard.iter().map(|r| r.limit(ConnectionKind::Query)).sum()
         };
         let limit = self.shards.iter().map(shard_limit).filter(|&limit| limit > 0).min();
-        self.admission.borrow_mut().set_most(limit.unwrap_or(1));
+        self.admission.borrow_mut().set_max_running(limit.unwrap_or(1));
     }
 
     /// Updates the gauges of allowed and used connections.
@@ -121,13 +121,13 @@
     ) -> Result<AdmissionGuard, Refusal> {
         let left = deadline.saturating_duration_since(Instant::now());
         let deadline_ms = clock() + u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-        let decision = self.admission.borrow_mut().offer(team, weight, deadline_ms, clock());
+        let decision = self.admission.borrow_mut().admit(team, weight, deadline_ms, clock());
         let admitted = |service: &Rc<Self>| AdmissionGuard {
             service: Rc::clone(service),
             team: team.to_owned(),
             started: Instant::now(),
             deadline,
-            ending: Cell::new(Ending::Neutral),
+            ending: Cell::new(LoadSignal::Neutral),
             clock,
         };
         match decision {
@@ -157,15 +157,15 @@
 
     /// Refuses waiting requests whose remaining time no longer suffices.
     pub(crate) fn expire_waiters(&self, now_ms: u64) {
-        let resolved = self.admission.borrow_mut().expire(now_ms);
+        let resolved = self.admission.borrow_mut().refuse_expired(now_ms);
         self.resolve(resolved);
     }
 
-    fn resolve(&self, resolved: Vec<Resolved>) {
+    fn resolve(&self, resolved: Vec<Resolution>) {
         for entry in resolved {
             let (ticket, result) = match entry {
-                Resolved::Start(ticket) => (ticket, Ok(())),
-                Resolved::Refuse(ticket, refusal) => (ticket, Err(refusal)),
+                Resolution::Start(ticket) => (ticket, Ok(())),
+                Resolution::Refuse(ticket, refusal) => (ticket, Err(refusal)),
             };
             if let Some(reply) = self.waiters.borrow_mut().remove(&ticket) {
                 drop(reply.send(result));
@@ -203,28 +203,28 @@
     team: String,
     started: Instant,
     deadline: Instant,
-    ending: Cell<Ending>,
+    ending: Cell<LoadSignal>,
     clock: fn() -> u64,
 }
 
 impl AdmissionGuard {
     /// Sets the outcome of the request for admission control.
-    pub(crate) fn set_ending(&self, ending: Ending) {
+    pub(crate) fn set_ending(&self, ending: LoadSignal) {
         self.ending.set(ending);
     }
 }
 
 impl Drop for AdmissionGuard {
     fn drop(&mut self) {
-        let ended = Ended {
-            ending: self.ending.get(),
+        let ended = Completion {
+            signal: self.ending.get(),
             took_us: micros(self.started.elapsed()),
             budget_us: micros(self.deadline.saturating_duration_since(self.started)),
         };
         let now_ms = (self.clock)();
         let resolved = {
             let mut admission = self.service.admission.borrow_mut();
-            admission.finish(&self.team, ended, now_ms)
+            admission.complete(&self.team, ended, now_ms)
         };
         self.service.resolve(resolved);
     }
--- a/crates/eelgrasspier/src/shared.rs
+++ b/crates/eelgrasspier/src/shared.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use arc_swap::ArcSwap;
-use eelgrasspier_decide::claim::{Key, Nonce, Outcome};
+use eelgrasspier_decide::claim::{ClaimResult, Key, Nonce};
 use eelgrasspier_decide::leaving::Server;
 use eelgrasspier_decide::quarantine::Report;
 use eelgrasspier_operator::{InstanceStatus, SubmitAnswer, Submitted, TextResponse, TimelineEntry};
@@ -27,7 +27,7 @@
         key: Key,
         nonce: Nonce,
         until: Instant,
-        reply: oneshot::Sender<Result<Outcome, ClaimError>>,
+        reply: oneshot::Sender<Result<ClaimResult, ClaimError>>,
     },
     /// Releases the claim of an attempt that certainly sent nothing.
     Release { key: Key, nonce: Nonce },
--- a/crates/eelgrasspier/src/view.rs
+++ b/crates/eelgrasspier/src/view.rs
@@ -44,7 +44,7 @@
     /// Returns the number of connections this process may open to `replica`.
     #[must_use]
     pub fn connection_share(&self, replica: u64, limit: u32) -> u32 {
-        share::share_within(&self.share_bounds, self.own_key, replica, limit)
+        share::min_share(&self.share_bounds, self.own_key, replica, limit)
     }
 
     /// Returns true if the instance can serve callers.
--- a/crates/operator/src/cli.rs
+++ b/crates/operator/src/cli.rs
@@ -151,21 +151,21 @@
     check(file)?;
     let edit_id = new_edit_id();
     let text = read_file(file)?;
-    let base = base.to_number();
+    let base = base.to_packed();
     let edit = Submitted { edit_id, base, submitter: submitter.to_owned(), text };
     println!("edit {edit_id}");
     let client = target.client();
     match submit_until_known(&client, &edit).await {
         Ok(SubmitAnswer::Accepted { version }) => {
-            println!("accepted as version {}", Position::from_number(version));
+            println!("accepted as version {}", Position::from_packed(version));
             if wait { wait_in_force(&client, version).await } else { Ok(()) }
         }
         Ok(SubmitAnswer::Superseded { version }) => {
-            println!("accepted, and superseded by version {}", Position::from_number(version));
+            println!("accepted, and superseded by version {}", Position::from_packed(version));
             Ok(())
         }
         Ok(SubmitAnswer::Conflict { version }) => {
-            let now = Position::from_number(version);
+            let now = Position::from_packed(version);
             Err(format!(
                 "edit rejected: the text is at version {now} now; base the edit on that version"
             ))
@@ -209,13 +209,13 @@
         }
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
-    let version = Position::from_number(version);
+    let version = Position::from_packed(version);
     Err(format!("timed out: version {version} is not in force on all instances yet"))
 }
 
 async fn show(target: &Target) -> Result<(), String> {
     let shown = target.client().text().await.map_err(|e| e.to_string())?;
-    eprintln!("version {}", Position::from_number(shown.version));
+    eprintln!("version {}", Position::from_packed(shown.version));
     print!("{}", shown.text);
     Ok(())
 }
--- a/crates/operator/src/output.rs
+++ b/crates/operator/src/output.rs
@@ -36,7 +36,7 @@
     for s in all {
         let version = s
             .config_version
-            .map_or_else(|| "-".to_owned(), |v| Position::from_number(v).to_string());
+            .map_or_else(|| "-".to_owned(), |v| Position::from_packed(v).to_string());
         let agreed = if s.is_share_agreed { "yes" } else { "no" };
         push_row(
             &mut table,
--- a/crates/peer/src/gossip.rs
+++ b/crates/peer/src/gossip.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use bytes::{BufMut, BytesMut};
-use eelgrasspier_decide::membership::{Datagram, Send};
+use eelgrasspier_decide::membership::{Datagram, OutgoingDatagram};
 use futures_util::stream::SplitSink;
 use futures_util::{SinkExt, StreamExt};
 use prost::Message;
@@ -61,8 +61,8 @@
     }
 
     /// Sends all queued datagrams until the sending end of the queue is closed.
-    pub async fn send_all(mut self, mut outgoing: UnboundedReceiver<Send>) {
-        while let Some(Send { to, datagram }) = outgoing.recv().await {
+    pub async fn send_all(mut self, mut outgoing: UnboundedReceiver<OutgoingDatagram>) {
+        while let Some(OutgoingDatagram { to, datagram }) = outgoing.recv().await {
             self.send(to, datagram).await;
         }
     }
--- a/crates/router/src/control/apply.rs
+++ b/crates/router/src/control/apply.rs
@@ -4,7 +4,7 @@
 
 use eelgrasspier_decide::directory::EntryChange;
 use eelgrasspier_decide::evacuations::ZoneChange;
-use eelgrasspier_decide::mirror::{Applied, Changes, Effect, Note};
+use eelgrasspier_decide::mirror::{ApplyResult, Changes, Deviation, Effect};
 use eelgrasspier_decide::route::RouteTable;
 use eelgrasspier_store::Kind;
 
@@ -20,14 +20,14 @@
         let (applied, before, after) = {
             let mut mirrors = self.mirrors.borrow_mut();
             let mirror = mirrors.entry(kind).or_insert_with(|| self.empty_mirror(kind));
-            let before = Some(mirror.position()).filter(|_| mirror.is_filled());
+            let before = Some(mirror.position()).filter(|_| mirror.has_full_list());
             (mirror.apply(changes, self.shared.now_ms()), before, mirror.position())
         };
         let is_first = before.is_none() && changes.is_whole;
         let has_entered_era = before.is_some_and(|before| before.era < after.era);
         // Announced even if nothing changes here, such as for an entry that is retained for a
         // while. The other instances would otherwise learn of it only by their next poll.
-        let must_announce = is_first || has_entered_era || applied.has_news();
+        let must_announce = is_first || has_entered_era || applied.needs_notification();
         if is_first {
             // One line for the whole list: with a line for each entry, these were most of the lines
             // that a starting fleet logged.
@@ -54,7 +54,7 @@
     pub(super) fn apply_effects(
         &self,
         kind: Kind,
-        applied: Applied,
+        applied: ApplyResult,
         (as_of, source): (u64, &str),
         is_quiet: bool,
     ) -> bool {
@@ -62,7 +62,7 @@
         metrics::gauge!("eelgrasspier_store_revision", "kind" => kind.name())
             .set(as_gauge(position.revision));
         let mut has_changed = false;
-        applied.notes.iter().for_each(|note| log_note(kind, note, source));
+        applied.deviations.iter().for_each(|deviation| log_deviation(kind, deviation, source));
         for effect in applied.effects {
             has_changed |= match kind {
                 Kind::Replicas => self.apply_replica(effect, as_of, source, is_quiet),
@@ -81,17 +81,17 @@
                 Ok(entry) => EntryChange::Set(entry),
                 Err(error) => {
                     log::warn!("event=entry_unreadable replica={name} cause=\"{error}\"");
-                    EntryChange::Gone(name.as_str().into())
+                    EntryChange::Removed(name.as_str().into())
                 }
             },
-            Effect::Gone(name) => EntryChange::Gone(name.as_str().into()),
+            Effect::Removed(name) => EntryChange::Removed(name.as_str().into()),
         };
         let text = match &change {
             EntryChange::Set(e) => format!(
                 "replica={} service={} addr={} zone={} draining={} cold_left_ms={} report={}",
                 e.id, e.service, e.addr, e.zone, e.is_draining, e.cold_left_ms, e.report.number
             ),
-            EntryChange::Gone(id) => format!("replica={id} gone=true"),
+            EntryChange::Removed(id) => format!("replica={id} gone=true"),
         };
         let now_ms = self.shared.now_ms();
         let has_changed = self.directory.borrow_mut().apply(change, now_ms);
@@ -108,7 +108,7 @@
             Effect::Set(name, content) => {
                 ZoneChange::Evacuated(self.decode.evacuated_zone(&name, &content))
             }
-            Effect::Gone(name) => ZoneChange::TakenBack(name.into()),
+            Effect::Removed(name) => ZoneChange::TakenBack(name.into()),
         };
         let (event, zone) = match &change {
             ZoneChange::Evacuated(zone) => ("event=zone_evacuated", Arc::clone(zone)),
@@ -155,16 +155,16 @@
 }
 
 /// Logs a change that was not applied as received.
-fn log_note(kind: Kind, note: &Note, source: &str) {
-    match note {
-        Note::LeftOut { name, told, known } => {
+fn log_deviation(kind: Kind, deviation: &Deviation, source: &str) {
+    match deviation {
+        Deviation::IgnoredStale { name, received, known } => {
             metrics::counter!("eelgrasspier_changes_left_out_total").increment(1);
             log::info!(
-                "event=change_left_out kind={kind:?} name={name} told={told} known={known} \
+                "event=change_left_out kind={kind:?} name={name} told={received} known={known} \
                  source={source}"
             );
         }
-        Note::Kept(name) => log::info!("event=object_kept kind={kind:?} name={name}"),
-        Note::Doubted(name) => log::info!("event=object_doubted kind={kind:?} name={name}"),
+        Deviation::Retained(name) => log::info!("event=object_kept kind={kind:?} name={name}"),
+        Deviation::Withheld(name) => log::info!("event=object_doubted kind={kind:?} name={name}"),
     }
 }
--- a/crates/router/src/control/fetch.rs
+++ b/crates/router/src/control/fetch.rs
@@ -57,7 +57,7 @@
         let is_ahead = |m: &&Member| {
             (position_of(m, kind) > known || has_newer(m)) && !pulls.is_asked(&m.name)
         };
-        let ahead = membership.alive().filter(is_ahead);
+        let ahead = membership.live_peers().filter(is_ahead);
         // Prefers an instance of the own zone, so that each change crosses zones only once.
         let best = ahead.min_by_key(|m| (m.zone != self.identity.zone, rand::random::<u32>()));
         let found = best.map(|m| (m.name.clone(), m.zone.clone(), m.peer_addr.parse()));
--- a/crates/router/src/control/follow.rs
+++ b/crates/router/src/control/follow.rs
@@ -174,7 +174,7 @@
     /// Returns the position of the local copy, or `None` before the first full list.
     pub(super) fn complete_position(&self, kind: Kind) -> Option<Position> {
         let mirrors = self.mirrors.borrow();
-        mirrors.get(&kind).filter(|m| m.is_filled()).map(Mirror::position)
+        mirrors.get(&kind).filter(|m| m.has_full_list()).map(Mirror::position)
     }
 
     /// Returns the time for which the store may hold a watch open.
@@ -233,7 +233,7 @@
         if !self.is_store_up.replace(true) {
             log::info!("event=store_regained silent_ms={silent_ms}");
             if silent_ms >= MIN_OUTAGE_MS {
-                self.directory.borrow_mut().store_is_back(now_ms);
+                self.directory.borrow_mut().on_store_recovered(now_ms);
             }
             self.membership.borrow_mut().update_own(|m| m.is_store_reached = true);
             self.send_own_record();
--- a/crates/router/src/control/instances.rs
+++ b/crates/router/src/control/instances.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use eelgrasspier_decide::contacts;
-use eelgrasspier_decide::membership::Listed;
+use eelgrasspier_decide::membership::ListedInstance;
 use eelgrasspier_decide::outage::{LEAST_PAUSE_MS, MOST_PAUSE_MS};
 use eelgrasspier_store::{Announcement, Backoff, CollectionError, Kind};
 
@@ -95,7 +95,7 @@
     }
 
     fn is_alone(&self) -> bool {
-        self.membership.borrow().alive_count() == 1
+        self.membership.borrow().live_count() == 1
     }
 
     /// True if the entries must be read now.
@@ -136,7 +136,7 @@
         let read: Vec<Announcement> = read.collect();
         let entry_count = u64::try_from(read.len()).unwrap_or(u64::MAX);
         let fleet = read.iter().map(|a| a.instances).fold(entry_count, u64::max);
-        let listed: Vec<Listed> = read.into_iter().map(to_listed).collect();
+        let listed: Vec<ListedInstance> = read.into_iter().map(to_listed).collect();
         self.membership.borrow_mut().set_listed(&listed);
         if entries.listed_at.replace(Instant::now()).is_none() {
             let others = listed.iter().filter(|l| l.name != self.identity.name);
@@ -150,7 +150,7 @@
     }
 
     /// Withdraws entries of instances that are gone; has a missing own entry written again.
-    async fn withdraw_gone(&self, listed: &[Listed], entries: &mut EntryState) {
+    async fn withdraw_gone(&self, listed: &[ListedInstance], entries: &mut EntryState) {
         let names: Vec<&str> = listed.iter().map(|l| l.name.as_str()).collect();
         let own = self.identity.name.as_str();
         if entries.written_size.is_some()
@@ -160,7 +160,7 @@
         }
         let gone = {
             let membership = self.membership.borrow();
-            let alive: Vec<&str> = membership.alive().map(|m| m.name.as_str()).collect();
+            let alive: Vec<&str> = membership.live_peers().map(|m| m.name.as_str()).collect();
             let is_there = |name: &str| name == own || alive.contains(&name);
             self.roster.borrow_mut().gone(&names, is_there, self.shared.now_ms())
         };
@@ -182,7 +182,7 @@
     }
 }
 
-fn to_listed(announcement: Announcement) -> Listed {
+fn to_listed(announcement: Announcement) -> ListedInstance {
     let Announcement { name, zone, peer_addr, .. } = announcement;
-    Listed { name, zone, peer_addr }
+    ListedInstance { name, zone, peer_addr }
 }
--- a/crates/router/src/control/join.rs
+++ b/crates/router/src/control/join.rs
@@ -37,10 +37,10 @@
             match self.fetch_members(addr).await {
                 Ok(Members { members, reports }) => {
                     let now_ms = self.shared.now_ms();
-                    let (received, known) = (members.len(), self.membership.borrow().alive_count());
-                    self.membership.borrow_mut().learn_table(&members, now_ms);
-                    self.membership.borrow_mut().learn_reports(&reports, now_ms);
-                    let after = self.membership.borrow().alive_count();
+                    let (received, known) = (members.len(), self.membership.borrow().live_count());
+                    self.membership.borrow_mut().merge_table(&members, now_ms);
+                    self.membership.borrow_mut().merge_reports(&reports, now_ms);
+                    let after = self.membership.borrow().live_count();
                     log::info!(
                         "event=members_fetched from={addr} told={received} known={known} after={after}"
                     );
@@ -56,7 +56,7 @@
 
     /// Returns an instance that others greet too: one with an entry in the store, or else a seed.
     fn member_table_peer(&self) -> Option<SocketAddr> {
-        let listed = self.membership.borrow().listed_alive(rand::random());
+        let listed = self.membership.borrow().pick_listed_live(rand::random());
         listed.or_else(|| self.other_seeds().min_by_key(|_| rand::random::<u32>()))
     }
 
--- a/crates/router/src/control/members.rs
+++ b/crates/router/src/control/members.rs
@@ -4,7 +4,9 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-use eelgrasspier_decide::membership::{Change, Datagram, Member, Send, State};
+use eelgrasspier_decide::membership::{
+    Datagram, Member, MembershipChange, OutgoingDatagram, State,
+};
 use eelgrasspier_decide::mirror::Mirror;
 use eelgrasspier_store::Kind;
 use futures_util::{Stream, StreamExt};
@@ -51,7 +53,7 @@
     }
 
     fn greet_seeds_if_alone(&self) {
-        let is_alone = self.membership.borrow().alive_count() == 1;
+        let is_alone = self.membership.borrow().live_count() == 1;
         if is_alone && rand::random::<u64>().is_multiple_of(MEAN_TICKS_PER_GREETING) {
             self.greet_seeds();
         }
@@ -63,7 +65,7 @@
 
     /// Sends a greeting to the instances at the given addresses.
     pub(super) fn greet_instances(&self, addrs: impl Iterator<Item = SocketAddr>) {
-        let greetings = addrs.map(|addr| self.membership.borrow_mut().greet(addr));
+        let greetings = addrs.map(|addr| self.membership.borrow_mut().probe_address(addr));
         self.send(greetings.collect());
     }
 
@@ -78,7 +80,7 @@
         zone_bytes::count(cause, self.remote_zone_addrs.borrow().contains(&addr), bytes);
     }
 
-    pub(super) fn send(&self, sends: Vec<Send>) {
+    pub(super) fn send(&self, sends: Vec<OutgoingDatagram>) {
         for send in sends {
             self.count_bytes(Cause::Gossip, send.to, send.datagram.encoded_len());
             // The receiving task lives as long as this thread.
@@ -93,7 +95,7 @@
         let mut reports = Vec::new();
         for change in changes {
             log_change(&change);
-            if let Change::Reported(report) = change {
+            if let MembershipChange::ReportReceived(report) = change {
                 reports.push(report);
             }
         }
@@ -105,7 +107,7 @@
         }
         // The epoch also changes when a record only reports the store as unreachable. Without this
         // no other instance stepped in before its next poll, and a change was in force 5 s late.
-        let epoch = self.membership.borrow().epoch();
+        let epoch = self.membership.borrow().change_count();
         if self.roles_epoch.replace(epoch) != epoch {
             self.roles_changed.notify_waiters();
         }
@@ -123,18 +125,18 @@
     /// would drop entries that lapsed because of the outage.
     fn detect_peer_outage(&self) {
         let is_without_store = |m: &Member| !m.is_store_reached;
-        let has_any = self.membership.borrow().alive().any(is_without_store);
+        let has_any = self.membership.borrow().live_peers().any(is_without_store);
         if self.has_peer_without_store.replace(has_any) && !has_any {
-            self.directory.borrow_mut().store_is_back(self.shared.now_ms());
+            self.directory.borrow_mut().on_store_recovered(self.shared.now_ms());
             self.roles_changed.notify_waiters();
         }
-        let reaching = self.membership.borrow().alive().filter(|m| m.is_store_reached).count();
+        let reaching = self.membership.borrow().live_peers().filter(|m| m.is_store_reached).count();
         let before = self.peers_reaching_store.replace(reaching);
         if before == 0 && reaching > 0 && !self.is_store_up.get() {
             // This comes before fetching changes from the instance that the store answers. Those
             // may contain entries that lapsed in the outage, and an instance that dropped them had
             // no replicas for 2 s.
-            self.directory.borrow_mut().store_is_back(self.shared.now_ms());
+            self.directory.borrow_mut().on_store_recovered(self.shared.now_ms());
             self.peer_reached_store.notify_waiters();
         }
     }
@@ -168,7 +170,7 @@
     ///
     /// A restored store may lack that version, and the watchers may have started since.
     fn has_sole_newest_version(&self) -> bool {
-        let announced = self.membership.borrow().alive().map(|m| m.config_version).max();
+        let announced = self.membership.borrow().live_peers().map(|m| m.config_version).max();
         self.configuration.borrow().as_ref().is_some_and(|c| Some(c.version) > announced)
     }
 
@@ -186,7 +188,7 @@
 
     /// Sends the own record to some other instances without waiting for a gossip round.
     pub(super) fn send_own_record(&self) {
-        let sends = self.membership.borrow_mut().farewell(
+        let sends = self.membership.borrow_mut().broadcast_own_record(
             MAX_NOTIFIED,
             MAX_REMOTE_NOTIFIED,
             rand::random(),
@@ -212,16 +214,16 @@
     }
 }
 
-fn log_change(change: &Change) {
+fn log_change(change: &MembershipChange) {
     match change {
-        Change::State(name) => log::info!("event=instance_state instance={name}"),
-        Change::Joined(name) => log::info!("event=instance_joined instance={name}"),
-        Change::Suspected(name) => log::info!("event=instance_suspected instance={name}"),
-        Change::Died(name) => log::info!("event=instance_dead instance={name}"),
-        Change::Left(name) => log::info!("event=instance_left instance={name}"),
-        Change::Refuted => log::info!("event=suspicion_refuted"),
+        MembershipChange::StateChanged(name) => log::info!("event=instance_state instance={name}"),
+        MembershipChange::Joined(name) => log::info!("event=instance_joined instance={name}"),
+        MembershipChange::Suspected(name) => log::info!("event=instance_suspected instance={name}"),
+        MembershipChange::DeclaredDead(name) => log::info!("event=instance_dead instance={name}"),
+        MembershipChange::Left(name) => log::info!("event=instance_left instance={name}"),
+        MembershipChange::Refuted => log::info!("event=suspicion_refuted"),
         // The store's entries report replicas that are leaving, and the traffic thread logs
         // findings from reports.
-        Change::ServerLeaving(_) | Change::Reported(_) => {}
+        MembershipChange::ServerLeaving(_) | MembershipChange::ReportReceived(_) => {}
     }
 }
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -20,10 +20,10 @@
 use std::time::Duration;
 
 use eelgrasspier_decide::cold::Settled;
-use eelgrasspier_decide::directory::Directory;
+use eelgrasspier_decide::directory::ReplicaDirectory;
 use eelgrasspier_decide::evacuations::Evacuations;
-use eelgrasspier_decide::history::{Eras, Position};
-use eelgrasspier_decide::membership::{Member, Membership, Send, State};
+use eelgrasspier_decide::history::{EraTracker, Position};
+use eelgrasspier_decide::membership::{Member, Membership, OutgoingDatagram, State};
 use eelgrasspier_decide::mirror::{Changes, Mirror};
 use eelgrasspier_decide::pulls::Pulls;
 use eelgrasspier_decide::quarantine::Report;
@@ -73,11 +73,11 @@
     decode: Arc<dyn Decode>,
     links: Links,
     membership: RefCell<Membership>,
-    outbox: mpsc::UnboundedSender<Send>,
+    outbox: mpsc::UnboundedSender<OutgoingDatagram>,
     /// Sends reports of other instances on crashing requests to the traffic thread.
     reports_to_traffic: mpsc::UnboundedSender<Vec<Report>>,
     mirrors: RefCell<HashMap<Kind, Mirror>>,
-    directory: RefCell<Directory>,
+    directory: RefCell<ReplicaDirectory>,
     /// Zones whose replicas must not receive requests.
     evacuations: RefCell<Evacuations>,
     /// Replicas of the directory that accept new requests, by service.
@@ -96,7 +96,7 @@
     store_answered_ms: Cell<u64>,
     is_store_up: Cell<bool>,
     /// The era of the store, which increases with each restore from a backup.
-    eras: RefCell<Eras>,
+    eras: RefCell<EraTracker>,
     /// The last era reported by the store that was lower than a known one.
     regressed_era: Cell<Option<u64>>,
     /// Wakes store calls that began before a restore.
@@ -203,14 +203,14 @@
             match request {
                 Ask::Changes { kind, after, reply } => {
                     let mirrors = self.mirrors.borrow();
-                    let changes = mirrors.get(&kind).map(|m| m.since(after));
+                    let changes = mirrors.get(&kind).map(|m| m.changes_since(after));
                     // The requester may have disconnected.
                     let _is_disconnected = reply.send(changes.unwrap_or_default()).is_err();
                 }
                 Ask::Members { reply } => {
                     let membership = self.membership.borrow();
                     let reports = membership.reports(self.shared.now_ms());
-                    let answer = wire::Members { members: membership.table(), reports };
+                    let answer = wire::Members { members: membership.live_records(), reports };
                     let _is_disconnected = reply.send(answer).is_err();
                 }
                 Ask::Tell(reports) => self.send_reports(&reports),
--- a/crates/router/src/control/reports.rs
+++ b/crates/router/src/control/reports.rs
@@ -9,7 +9,7 @@
     /// Sends reports of this instance to some others and schedules their store writes.
     pub(super) fn send_reports(&self, reports: &[Report]) {
         let (now_ms, max_notified) = (self.shared.now_ms(), (MAX_NOTIFIED, MAX_REMOTE_NOTIFIED));
-        let sends = self.membership.borrow_mut().tell_reports(
+        let sends = self.membership.borrow_mut().broadcast_reports(
             reports,
             now_ms,
             max_notified,
--- a/crates/router/src/control/restore.rs
+++ b/crates/router/src/control/restore.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use eelgrasspier_decide::directory::COME_BACK_MS;
-use eelgrasspier_decide::history::{Position, Told};
+use eelgrasspier_decide::directory::LAPSED_RETENTION_MS;
+use eelgrasspier_decide::history::{EraComparison, Position};
 use eelgrasspier_decide::membership::{Member, State};
-use eelgrasspier_decide::mirror::{Applied, Mirror, Retention, Settling};
+use eelgrasspier_decide::mirror::{ApplyResult, Mirror, RestorePolicy, Retention};
 use eelgrasspier_store::{Answer, Kind};
 
 use super::Control;
@@ -62,17 +62,19 @@
             // Configuration versions never go down.
             Kind::Configuration => Retention::Always,
             Kind::Evacuations => Retention::ForMs(EVACUATION_RETENTION_MS),
-            Kind::Replicas | Kind::Instances | Kind::Suspects => Retention::ForMs(COME_BACK_MS),
+            Kind::Replicas | Kind::Instances | Kind::Suspects => {
+                Retention::ForMs(LAPSED_RETENTION_MS)
+            }
         };
-        Mirror::new(Settling {
+        Mirror::new(RestorePolicy {
             retention,
-            doubt_ms: MAX_MISSED_REPORTS * heartbeat_ms + PROPAGATION_MS,
+            withhold_ms: MAX_MISSED_REPORTS * heartbeat_ms + PROPAGATION_MS,
         })
     }
 
     /// Applies the changes of an answer if they fit the era of the request.
     pub(super) fn apply_answer(&self, request: StoreRequest, answer: Answer) -> AnswerOutcome {
-        if self.record_answer_era(request, answer.era) == Told::Late {
+        if self.record_answer_era(request, answer.era) == EraComparison::Stale {
             log::info!(
                 "event=answer_late kind={:?} era={} known={}",
                 request.kind,
@@ -85,22 +87,27 @@
         if !answer.changes.is_whole && request.since.is_some_and(|since| since.era != era) {
             return AnswerOutcome::ListRequired;
         }
-        self.apply_changes(request.kind, &answer.changes.in_era(era), "store");
+        self.apply_changes(request.kind, &answer.changes.with_era(era), "store");
         AnswerOutcome::Applied
     }
 
     /// Records the era of an answer; returns how it relates to the known one.
-    pub(super) fn record_answer_era(&self, request: StoreRequest, era: Option<u64>) -> Told {
+    pub(super) fn record_answer_era(
+        &self,
+        request: StoreRequest,
+        era: Option<u64>,
+    ) -> EraComparison {
         let before = self.era();
-        let relation = self.eras.borrow_mut().take(era, request.sent_in_era, request.may_be_stale);
+        let relation =
+            self.eras.borrow_mut().observe_answer(era, request.sent_in_era, request.may_be_stale);
         match relation {
-            Told::Restored => self.handle_new_era(before, "store"),
-            Told::Back => {
+            EraComparison::Restored => self.handle_new_era(before, "store"),
+            EraComparison::Regressed => {
                 if self.regressed_era.replace(era) != era {
                     log::warn!("event=store_era_back era={} known={before}", era.unwrap_or(0));
                 }
             }
-            Told::Same | Told::Late => {}
+            EraComparison::Unchanged | EraComparison::Stale => {}
         }
         relation
     }
@@ -109,7 +116,7 @@
     pub(super) fn observe_peer_era(&self, era: u64, source: &str) {
         let before = self.era();
         if era > before {
-            self.eras.borrow_mut().hear(era);
+            self.eras.borrow_mut().observe_peer(era);
             self.handle_new_era(before, source);
         }
     }
@@ -133,7 +140,7 @@
         );
         // Entries of live replicas may be missing, or may lapse because the backup predates their
         // last renewals.
-        self.directory.borrow_mut().store_is_back(self.shared.now_ms());
+        self.directory.borrow_mut().on_store_recovered(self.shared.now_ms());
         self.store_restored.notify_waiters();
     }
 
@@ -159,7 +166,7 @@
                 .borrow_mut()
                 .get_mut(&kind)
                 .map(|mirror| (mirror.expire(now_ms), mirror.position().revision));
-            let has_effects = |(applied, _): &(Applied, u64)| !applied.effects.is_empty();
+            let has_effects = |(applied, _): &(ApplyResult, u64)| !applied.effects.is_empty();
             let Some((applied, as_of)) = expired.filter(has_effects) else { continue };
             if self.apply_effects(kind, applied, (as_of, "expiry"), false) {
                 self.rebuild_replicas();
@@ -170,7 +177,7 @@
     }
 
     pub(super) fn update_unsettled_gauge(&self, kind: Kind) {
-        let unsettled = self.mirrors.borrow().get(&kind).map_or(0, Mirror::unsettled);
+        let unsettled = self.mirrors.borrow().get(&kind).map_or(0, Mirror::unsettled_count);
         let unsettled = as_gauge(u64::try_from(unsettled).unwrap_or(u64::MAX));
         metrics::gauge!("eelgrasspier_unsettled_objects", "kind" => kind.name()).set(unsettled);
     }
@@ -197,7 +204,8 @@
     fn confirmation_peer(&self) -> Option<SocketAddr> {
         let membership = self.membership.borrow();
         let has_configuration = |m: &&Member| m.state() == State::Ready || m.config_version > 0;
-        let newest = membership.alive().filter(has_configuration).max_by_key(|m| m.config_version);
+        let newest =
+            membership.live_peers().filter(has_configuration).max_by_key(|m| m.config_version);
         newest.and_then(|m| m.peer_addr.parse().ok())
     }
 
--- a/crates/router/src/control/roles.rs
+++ b/crates/router/src/control/roles.rs
@@ -30,7 +30,7 @@
             is_store_reached: m.is_store_reached,
         };
         let others: Vec<Candidate> =
-            membership.alive().filter(|m| m.state() != State::Left).map(candidate).collect();
+            membership.live_peers().filter(|m| m.state() != State::Left).map(candidate).collect();
         is_chosen(candidate(membership.own()), &others)
     }
 
@@ -61,7 +61,7 @@
     /// fail. Until gossip has connected them, the number in the store's entries is used, or a
     /// default before these are read.
     pub(super) fn instances(&self) -> u64 {
-        let known = u64::try_from(self.membership.borrow().alive_count()).unwrap_or(u64::MAX);
+        let known = u64::try_from(self.membership.borrow().live_count()).unwrap_or(u64::MAX);
         if self.shared.now_ms() >= GOSSIP_SETTLED_AGE_MS {
             return known;
         }
@@ -75,7 +75,7 @@
         let candidate =
             |m: &Member| gatherers::Candidate { key: m.key(), capacity_milli: m.capacity_milli };
         let all =
-            own.chain(membership.alive().filter(|m| is_serving(m))).filter(|m| m.zone == zone);
+            own.chain(membership.live_peers().filter(|m| is_serving(m))).filter(|m| m.zone == zone);
         gatherers::choose(zone, &all.map(candidate).collect::<Vec<_>>())
     }
 
@@ -87,7 +87,7 @@
     /// Returns the other instances that are serving.
     pub(super) fn peers(&self) -> Vec<Peer> {
         let membership = self.membership.borrow();
-        let serving: Vec<&Member> = membership.alive().filter(|m| is_serving(m)).collect();
+        let serving: Vec<&Member> = membership.live_peers().filter(|m| is_serving(m)).collect();
         let mut chosen: HashMap<&str, Vec<u64>> = HashMap::new();
         for member in &serving {
             chosen.entry(&member.zone).or_insert_with(|| self.gatherers(&member.zone));
--- a/crates/router/src/control/stored_suspects.rs
+++ b/crates/router/src/control/stored_suspects.rs
@@ -183,7 +183,7 @@
             reports.push(Report { refused_ms, left_ms: forgotten_ms - now_ms, ..report });
         }
         log::info!("event=requests_recalled count={}", reports.len());
-        self.membership.borrow_mut().learn_reports(&reports, self.shared.now_ms());
+        self.membership.borrow_mut().merge_reports(&reports, self.shared.now_ms());
         self.process_member_changes();
         Ok(())
     }
--- a/crates/router/src/control/views.rs
+++ b/crates/router/src/control/views.rs
@@ -39,7 +39,7 @@
             let limits = configuration.services.get(service);
             let Some(limits) = limits.filter(|l| l.cold_rate_milli > 0) else { continue };
             for replica in all {
-                let reported_ms = directory.cold_until_ms(replica);
+                let reported_ms = directory.warm_at_ms(replica);
                 let presumed_ms = evacuations.cold_until_ms(&replica.zone, limits.warm_up_ms);
                 let until_ms = reported_ms.max(presumed_ms.unwrap_or(0));
                 if until_ms > now_ms {
@@ -71,7 +71,7 @@
         let remote_addrs = peers.iter().filter(|p| *p.zone != *self.identity.zone).map(|p| p.addr);
         *self.remote_zone_addrs.borrow_mut() = remote_addrs.collect();
         let mirrors = self.mirrors.borrow();
-        let is_listed = |kind| mirrors.get(&kind).is_some_and(Mirror::is_filled);
+        let is_listed = |kind| mirrors.get(&kind).is_some_and(Mirror::has_full_list);
         // A starting instance must not send to a zone that was evacuated before. A restored store
         // may also have an older configuration than the one in force at the other instances.
         let has_replicas = self.is_confirmed.get()
--- a/crates/router/src/gather/admission.rs
+++ b/crates/router/src/gather/admission.rs
@@ -1,6 +1,6 @@
 //! Admission control: whether a request is started and which of its shards are left out.
 
-use eelgrasspier_decide::admission::{Plan, plan_part};
+use eelgrasspier_decide::admission::{Plan, plan_group};
 
 use super::Gather;
 use super::shard::{Shard, ShardState};
@@ -35,8 +35,8 @@
         let answer_ms: Vec<f64> =
             (0..self.shards.len()).map(|i| self.answer_ms(i, left_ms)).collect();
         let (id, route) = (self.request.id_text(), &self.route.name);
-        match plan_part(&answer_ms, may_miss, may_leave_out, left_ms, rand::random()) {
-            Plan::Begin { left_out } => {
+        match plan_group(&answer_ms, may_miss, may_leave_out, left_ms, rand::random()) {
+            Plan::Send { left_out } => {
                 for &index in &left_out {
                     self.shards[index].state = ShardState::LeftOut;
                 }
@@ -44,9 +44,9 @@
                 metrics::counter!("eelgrasspier_left_out_total").increment(count);
                 None
             }
-            Plan::Refuse { late, retry_after_ms } => {
+            Plan::Refuse { late_count, retry_after_ms } => {
                 log::info!(
-                    "event=overloaded id={id} route={route} late={late} may_miss={may_miss} \
+                    "event=overloaded id={id} route={route} late={late_count} may_miss={may_miss} \
                      left_ms={left_ms} retry_after_ms={retry_after_ms}"
                 );
                 Some(retry_after_ms)
--- a/crates/router/src/gather/mod.rs
+++ b/crates/router/src/gather/mod.rs
@@ -15,7 +15,7 @@
 use actix_rt::task::JoinHandle;
 use eelgrasspier_backend::{Offered, PartFailure};
 use eelgrasspier_decide::directory::ReplicaEntry;
-use eelgrasspier_decide::patience::{Gathering, Next};
+use eelgrasspier_decide::patience::{GatherState, WaitDecision};
 use eelgrasspier_decide::route::Route;
 use tokio::sync::mpsc;
 
@@ -193,13 +193,13 @@
             let now_ms = self.router.shared.now_ms();
             self.current_view = self.router.shared.view.load_full();
             self.retry_late_shards(now_ms);
-            let wait_until_ms = match self.progress().next(now_ms) {
-                Next::Answer => break false,
-                Next::GiveUp => {
+            let wait_until_ms = match self.progress().decide(now_ms) {
+                WaitDecision::Answer => break false,
+                WaitDecision::Fail => {
                     self.gathered.is_timed_out = now_ms >= self.deadlines.limit_at_ms;
                     break true;
                 }
-                Next::WaitUntil(at_ms) => at_ms,
+                WaitDecision::WaitUntil(at_ms) => at_ms,
             };
             self.send_due_hedges(now_ms);
             self.send_due_probes(now_ms);
@@ -307,18 +307,18 @@
         )
     }
 
-    fn progress(&self) -> Gathering {
+    fn progress(&self) -> GatherState {
         let count = |state| self.shards.iter().filter(|s| s.state == state).count();
         let covered = count(ShardState::Covered);
         // Late shards still count as outstanding while the answer is insufficient without them.
         let late = if covered >= self.required_shards { count(ShardState::Late) } else { 0 };
-        Gathering {
-            total: self.shards.len(),
-            least: self.required_shards,
+        GatherState {
+            shard_count: self.shards.len(),
+            min_covered: self.required_shards,
             covered,
             failed: count(ShardState::Failed) + count(ShardState::LeftOut) + late,
             target_at_ms: self.deadlines.target_at_ms,
-            limit_at_ms: self.deadlines.limit_at_ms,
+            deadline_at_ms: self.deadlines.limit_at_ms,
         }
     }
 }
--- a/crates/router/src/gather/quarantine.rs
+++ b/crates/router/src/gather/quarantine.rs
@@ -68,7 +68,7 @@
 
     /// True if the request is sent to one replica at a time or not at all.
     pub(super) fn is_suspect(&self) -> bool {
-        self.treatment() != Treatment::Usual
+        self.treatment() != Treatment::Normal
     }
 
     /// True if hedges must wait.
@@ -101,10 +101,10 @@
         }
         match self.treatment() {
             Treatment::Refused(_) => Permission::Never,
-            Treatment::OneByOne if !self.trials.run_locally => Permission::Never,
-            Treatment::OneByOne => self.check_trial(index, replica, now_ms),
-            Treatment::Usual if self.unresolved_losses() >= LOSSES_TO_HOLD => Permission::Later,
-            Treatment::Usual => Permission::Now,
+            Treatment::OneReplicaAtATime if !self.trials.run_locally => Permission::Never,
+            Treatment::OneReplicaAtATime => self.check_trial(index, replica, now_ms),
+            Treatment::Normal if self.unresolved_losses() >= LOSSES_TO_HOLD => Permission::Later,
+            Treatment::Normal => Permission::Now,
         }
     }
 
@@ -169,6 +169,6 @@
 
     /// Returns the number of replicas that lost the request and are still being probed.
     fn unresolved_losses(&self) -> usize {
-        self.router.losses.borrow().awaited(self.request.fingerprint())
+        self.router.losses.borrow().pending_checks(self.request.fingerprint())
     }
 }
--- a/crates/router/src/gather/relay.rs
+++ b/crates/router/src/gather/relay.rs
@@ -117,7 +117,7 @@
         let pending = self.shards.iter().filter(|s| s.state == ShardState::Pending).count();
         // Shards that are sent from here may be late as well.
         sizes.push(pending - sizes.iter().sum::<usize>());
-        admission::share_misses(self.may_miss(), &sizes)
+        admission::divide_allowed_misses(self.may_miss(), &sizes)
     }
 
     /// Returns the shards to relay, grouped by instance.
--- a/crates/router/src/losses.rs
+++ b/crates/router/src/losses.rs
@@ -5,7 +5,7 @@
 
 use eelgrasspier_backend::PartFailure;
 use eelgrasspier_decide::directory::ReplicaEntry;
-use eelgrasspier_decide::losses::{Known, Lost};
+use eelgrasspier_decide::losses::{LostSend, ServerState};
 use eelgrasspier_decide::{relays, rendezvous};
 
 use crate::model::Request;
@@ -20,20 +20,20 @@
         if request.learnt.is_answered.get() {
             return;
         }
-        let lost = Lost {
+        let lost = LostSend {
             request: request.fingerprint(),
-            send: relays::mark(&format!("{} {}", request.id_text(), replica.id)),
-            is_tried: request.learnt.isolated_trials.borrow().contains(&replica.id),
+            send_id: relays::mark(&format!("{} {}", request.id_text(), replica.id)),
+            is_trial: request.learnt.isolated_trials.borrow().contains(&replica.id),
         };
         let replica_hash = rendezvous::hash(&replica.id);
-        let known = self.losses.borrow_mut().add(replica_hash, lost, self.shared.now_ms());
+        let known = self.losses.borrow_mut().record_loss(replica_hash, lost, self.shared.now_ms());
         match known {
-            Known::Unknown => {
+            ServerState::Unknown => {
                 let (router, replica) = (Rc::clone(self), Arc::clone(replica));
                 actix_rt::spawn(async move { router.probe_lost_replica(&replica).await });
             }
-            Known::HasEnded(ended) => self.record_crash(ended),
-            Known::Awaited | Known::Lives => {}
+            ServerState::Crashed(ended) => self.record_crash(ended),
+            ServerState::Checking | ServerState::Running => {}
         }
     }
 
@@ -48,7 +48,8 @@
         };
         metrics::counter!("eelgrasspier_losses_checked_total", "listens" => listens).increment(1);
         let (replica_hash, now_ms) = (rendezvous::hash(&replica.id), self.shared.now_ms());
-        let ended = self.losses.borrow_mut().resolve(replica_hash, listens == "no", now_ms);
+        let ended =
+            self.losses.borrow_mut().record_server_state(replica_hash, listens == "no", now_ms);
         let requests: Vec<String> = ended.iter().map(|e| e.request.to_string()).collect();
         log::info!(
             "event=loss_checked replica={} service={} listens={listens} fingerprints=[{}]",
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -94,17 +94,17 @@
             Ok(Body::Gathered(answer)) => {
                 zone_bytes::count(Cause::Gather, is_cross_zone, answer.encoded_len());
                 let took_ms = took.as_secs_f64() * 1000.0;
-                standing.borrow_mut().answered(took_ms, typical_ms, self.shared.now_ms());
+                standing.borrow_mut().record_answer(took_ms, typical_ms, self.shared.now_ms());
                 state.record_relay(took);
                 Ok(answer)
             }
             Ok(other) => {
-                standing.borrow_mut().failed(self.shared.now_ms());
+                standing.borrow_mut().record_failure(self.shared.now_ms());
                 log::warn!("event=relay_refused peer={} answer={other:?}", peer.name);
                 Err(PeerError::NotReached("instance refused the request".to_owned()))
             }
             Err(error) => {
-                standing.borrow_mut().failed(self.shared.now_ms());
+                standing.borrow_mut().record_failure(self.shared.now_ms());
                 Err(error)
             }
         }
@@ -121,7 +121,7 @@
     /// Records that an instance does not respond.
     pub(crate) fn record_unresponsive(&self, peer: &Peer) {
         let standing = self.standing(&peer_key(&peer.name));
-        standing.borrow_mut().failed(self.shared.now_ms());
+        standing.borrow_mut().record_failure(self.shared.now_ms());
     }
 
     /// Gathers shards for another instance and merges them.
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -7,15 +7,15 @@
 use std::time::Duration;
 
 use eelgrasspier_backend::PartFailure;
-use eelgrasspier_decide::allowance::{Allowance, RepeatLimits};
+use eelgrasspier_decide::allowance::{RetryBudget, RetryLimits};
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::homes::Regions;
-use eelgrasspier_decide::losses::Losses;
+use eelgrasspier_decide::losses::LostSends;
 use eelgrasspier_decide::patience;
 use eelgrasspier_decide::prelude::{Refusal, RefusalReason};
 use eelgrasspier_decide::rendezvous;
 use eelgrasspier_decide::route::{Route, Target};
-use eelgrasspier_decide::standing::Standing;
+use eelgrasspier_decide::standing::ReplicaStats;
 use eelgrasspier_peer::Links;
 use tokio::time::Instant;
 
@@ -64,13 +64,13 @@
     /// Hash of this instance's name for rendezvous hashing.
     pub(crate) key: u64,
     pub(crate) links: Links,
-    limits: Cell<RepeatLimits>,
-    pub(crate) standings: RefCell<NameMap<Rc<RefCell<Standing>>>>,
+    limits: Cell<RetryLimits>,
+    pub(crate) standings: RefCell<NameMap<Rc<RefCell<ReplicaStats>>>>,
     /// Expiry times of replicas that peer instances reported as slow, by replica mark.
     pub(crate) slow_until_ms: RefCell<HashMap<u32, u64>>,
-    retry_budgets: RefCell<NameMap<Allowance>>,
+    retry_budgets: RefCell<NameMap<RetryBudget>>,
     routes: RefCell<HashMap<Arc<str>, Rc<RouteState>>>,
-    pub(crate) losses: RefCell<Losses>,
+    pub(crate) losses: RefCell<LostSends>,
     pub(crate) suspects: Suspects,
     pub(crate) cold: ColdLimiter,
     regions: RefCell<Regions>,
@@ -90,7 +90,7 @@
         backend: Rc<dyn Backend>,
         name: &str,
         zone: Arc<str>,
-        limits: RepeatLimits,
+        limits: RetryLimits,
     ) -> Rc<Self> {
         Rc::new(Self {
             shared,
@@ -187,8 +187,9 @@
             Target::Service(_) | Target::Split(_) => limit_ms,
             Target::Shards(_) => {
                 let target_ms = route.target_latency_ms;
-                let margin_ms = patience::margin_ms(target_ms, view.capacity_milli);
-                patience::time_ms(target_ms, earlier_attempts_ms).saturating_sub(margin_ms)
+                let margin_ms = patience::delivery_margin_ms(target_ms, view.capacity_milli);
+                patience::effective_target_ms(target_ms, earlier_attempts_ms)
+                    .saturating_sub(margin_ms)
             }
         };
         Deadlines {
@@ -201,7 +202,7 @@
         Rc::clone(self.routes.borrow_mut().entry(Arc::clone(name)).or_default())
     }
 
-    pub(crate) fn standing(&self, id: &Arc<str>) -> Rc<RefCell<Standing>> {
+    pub(crate) fn standing(&self, id: &Arc<str>) -> Rc<RefCell<ReplicaStats>> {
         Rc::clone(self.standings.borrow_mut().entry(Arc::clone(id)).or_default())
     }
 
@@ -222,7 +223,7 @@
     }
 
     /// Replaces the retry budget limits.
-    pub(crate) fn set_repeat_limits(&self, limits: RepeatLimits) {
+    pub(crate) fn set_repeat_limits(&self, limits: RetryLimits) {
         self.limits.set(limits);
     }
 
@@ -233,7 +234,7 @@
         retry_budgets
             .entry(Arc::clone(service))
             .or_default()
-            .note_request(&self.limits.get(), now_ms);
+            .record_request(&self.limits.get(), now_ms);
     }
 
     /// Returns the delay before a send to `replica` may be hedged, in milliseconds.
@@ -249,7 +250,8 @@
         let now_ms = self.shared.now_ms();
         let mut retry_budgets = self.retry_budgets.borrow_mut();
         let retry_budget = retry_budgets.entry(Arc::clone(service)).or_default();
-        let is_budget_low = retry_budget.is_scarce(&self.limits.get(), view.slack_sharers, now_ms);
+        let is_budget_low =
+            retry_budget.is_half_spent(&self.limits.get(), view.slack_sharers, now_ms);
         wait_ms
             + if is_budget_low { timing.low_budget_hedge_delay_ms } else { timing.hedge_delay_ms }
     }
@@ -259,7 +261,7 @@
         let now_ms = self.shared.now_ms();
         let mut retry_budgets = self.retry_budgets.borrow_mut();
         let retry_budget = retry_budgets.entry(Arc::clone(service)).or_default();
-        retry_budget.take(&self.limits.get(), view.slack_sharers, now_ms)
+        retry_budget.try_take(&self.limits.get(), view.slack_sharers, now_ms)
     }
 
     /// Returns the expected latency of one more request, in milliseconds.
@@ -279,7 +281,7 @@
         let now_ms = self.shared.now_ms();
         let mut retry_budgets = self.retry_budgets.borrow_mut();
         let retry_budget = retry_budgets.entry(Arc::clone(service)).or_default();
-        retry_budget.spent(&self.limits.get(), view.slack_sharers, now_ms)
+        retry_budget.spent_fraction(&self.limits.get(), view.slack_sharers, now_ms)
     }
 
     /// Estimates the latency of one more request to `replica`.
@@ -292,11 +294,11 @@
         let now_ms = self.shared.now_ms();
         let standing = self.standing(&replica.id);
         let standing = standing.borrow();
-        let answer_ms = standing.answer_ms(timing.typical_ms, replica.slots, now_ms);
+        let answer_ms = standing.expected_latency_ms(timing.typical_ms, replica.slots, now_ms);
         Estimate {
             answer_ms,
-            cost_ms: answer_ms + timing.typical_ms * standing.doubt(budget_used, now_ms),
-            wait_ms: standing.wait_ms(timing.typical_ms, replica.slots, now_ms),
+            cost_ms: answer_ms + timing.typical_ms * standing.penalty_cost(budget_used, now_ms),
+            wait_ms: standing.expected_wait_ms(timing.typical_ms, replica.slots, now_ms),
         }
     }
 
@@ -312,7 +314,7 @@
         let standing = self.standing(&replica.id);
         let started = Instant::now();
         let sent_ms = self.shared.now_ms();
-        let expected_ms = standing.borrow_mut().sent_work(work_ms, replica.slots, sent_ms);
+        let expected_ms = standing.borrow_mut().record_sent_work(work_ms, replica.slots, sent_ms);
         let guard = InFlightGuard { standing: Rc::clone(&standing), sent_ms };
         let is_cross_zone = replica.zone != self.zone;
         zone_bytes::count(Cause::Replica, is_cross_zone, attempt.request.body.len());
@@ -328,28 +330,28 @@
                 self.record_answered(&request);
                 zone_bytes::count(Cause::Replica, is_cross_zone, reply.body.len());
                 // The reported load includes the request that was just answered.
-                standing.reported(reply.load.unwrap_or(0).saturating_sub(1), now_ms);
+                standing.record_reported_load(reply.load.unwrap_or(0).saturating_sub(1), now_ms);
                 if reply.status.is_server_error() {
-                    standing.failed(now_ms);
+                    standing.record_failure(now_ms);
                 } else {
-                    standing.answered(took.as_secs_f64() * 1000.0, expected_ms, now_ms);
+                    standing.record_answer(took.as_secs_f64() * 1000.0, expected_ms, now_ms);
                     // Excludes the estimated time in the replica's queue.
                     let work_time = took.mul_f64(work_ms / expected_ms.max(work_ms));
                     state.record_exchange(work_time, now_ms);
                 }
             }
             Err(PartFailure::Shed(report)) => {
-                standing.reported(report.load.unwrap_or(replica.slots), now_ms);
-                standing.shed(now_ms);
+                standing.record_reported_load(report.load.unwrap_or(replica.slots), now_ms);
+                standing.record_shed(now_ms);
             }
             // The connection limit is local and says nothing about the replica.
             Err(PartFailure::Crowded) => {}
             Err(PartFailure::Misdirected) => {
                 log::info!("event=replica_replaced replica={} addr={}", replica.id, replica.addr);
-                standing.replaced();
+                standing.mark_replaced();
             }
             Err(failure) => {
-                standing.failed(now_ms);
+                standing.record_failure(now_ms);
                 if matches!(failure, PartFailure::Lost(_)) {
                     self.record_loss(&request, &replica);
                 }
@@ -377,19 +379,23 @@
 
 /// Counts a request as in flight at a replica until dropped.
 pub(crate) struct InFlightGuard {
-    standing: Rc<RefCell<Standing>>,
+    standing: Rc<RefCell<ReplicaStats>>,
     sent_ms: u64,
 }
 
 impl InFlightGuard {
-    pub(crate) fn start(standing: &Rc<RefCell<Standing>>, now_ms: u64, typical_ms: f64) -> Self {
-        standing.borrow_mut().sent(now_ms, typical_ms);
+    pub(crate) fn start(
+        standing: &Rc<RefCell<ReplicaStats>>,
+        now_ms: u64,
+        typical_ms: f64,
+    ) -> Self {
+        standing.borrow_mut().record_sent(now_ms, typical_ms);
         Self { standing: Rc::clone(standing), sent_ms: now_ms }
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.standing.borrow_mut().ended(self.sent_ms);
+        self.standing.borrow_mut().record_end(self.sent_ms);
     }
 }
--- a/crates/router/src/setup.rs
+++ b/crates/router/src/setup.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use eelgrasspier_decide::allowance::RepeatLimits;
+use eelgrasspier_decide::allowance::RetryLimits;
 use eelgrasspier_decide::cold::ColdBounds;
 use eelgrasspier_decide::homes::Regions;
 
@@ -29,7 +29,7 @@
     /// Address at which metrics are served.
     pub metrics_addr: Option<SocketAddr>,
     /// Limits on retries by all instances together.
-    pub repeat_limits: RepeatLimits,
+    pub repeat_limits: RetryLimits,
     /// Interval between reports of a replica to the store.
     pub heartbeat: Duration,
     /// Time from the stop signal to the kill.
--- a/crates/router/src/suspects.rs
+++ b/crates/router/src/suspects.rs
@@ -8,8 +8,8 @@
 
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::fingerprint::Fingerprint;
-use eelgrasspier_decide::losses::Ended;
-use eelgrasspier_decide::quarantine::{Finding, Quarantine, Report, Treatment};
+use eelgrasspier_decide::losses::CrashedSend;
+use eelgrasspier_decide::quarantine::{EvidenceEffect, Quarantine, Report, Treatment};
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
@@ -53,16 +53,16 @@
             return;
         }
         let fingerprint = request.fingerprint();
-        self.losses.borrow_mut().answered(fingerprint);
+        self.losses.borrow_mut().discard_answered(fingerprint);
         let now_ms = self.shared.now_ms();
-        let finding = self.suspects.quarantine.borrow_mut().note_answered(fingerprint, now_ms);
+        let finding = self.suspects.quarantine.borrow_mut().record_answer(fingerprint, now_ms);
         self.publish_finding(fingerprint, finding);
     }
 
     /// Records that a replica has crashed while it ran a request.
-    pub(crate) fn record_crash(&self, ended: Ended) {
+    pub(crate) fn record_crash(&self, ended: CrashedSend) {
         let now_ms = self.shared.now_ms();
-        let finding = self.suspects.quarantine.borrow_mut().note_ended(ended, now_ms);
+        let finding = self.suspects.quarantine.borrow_mut().record_crash(ended, now_ms);
         self.publish_finding(ended.request, finding);
     }
 
@@ -70,7 +70,8 @@
     pub(crate) fn merge_reports(&self, reports: &[Report], source: &str) {
         for report in reports {
             let fingerprint = Fingerprint(report.fingerprint);
-            let finding = self.suspects.quarantine.borrow_mut().merge(report, self.shared.now_ms());
+            let finding =
+                self.suspects.quarantine.borrow_mut().merge_report(report, self.shared.now_ms());
             self.log_finding(fingerprint, finding, source);
         }
     }
@@ -104,23 +105,23 @@
     }
 
     /// Logs a local finding and schedules a report to other instances.
-    fn publish_finding(&self, fingerprint: Fingerprint, finding: Finding) {
+    fn publish_finding(&self, fingerprint: Fingerprint, finding: EvidenceEffect) {
         self.log_finding(fingerprint, finding, "own");
-        if matches!(finding, Finding::Suspected | Finding::Refused) {
+        if matches!(finding, EvidenceEffect::Suspected | EvidenceEffect::Refused) {
             self.suspects.is_urgent.set(true);
         }
-        if finding != Finding::Unchanged {
+        if finding != EvidenceEffect::Unchanged {
             self.suspects.pending_reports.borrow_mut().insert(fingerprint);
             self.suspects.report_notify.notify_one();
         }
     }
 
-    fn log_finding(&self, fingerprint: Fingerprint, finding: Finding, source: &str) {
+    fn log_finding(&self, fingerprint: Fingerprint, finding: EvidenceEffect, source: &str) {
         let event = match finding {
-            Finding::Unchanged | Finding::Noted => return,
-            Finding::Suspected => "event=suspected",
-            Finding::Refused => "event=quarantined",
-            Finding::Cleared => "event=cleared",
+            EvidenceEffect::Unchanged | EvidenceEffect::Recorded => return,
+            EvidenceEffect::Suspected => "event=suspected",
+            EvidenceEffect::Refused => "event=quarantined",
+            EvidenceEffect::Cleared => "event=cleared",
         };
         let Some(report) = self.report_on(fingerprint) else { return };
         let (ended, alone) = (report.ended.len(), report.ended_alone.len());
--- a/crates/router/src/told.rs
+++ b/crates/router/src/told.rs
@@ -4,7 +4,7 @@
 
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::relays;
-use eelgrasspier_decide::standing::Told;
+use eelgrasspier_decide::standing::ReplicaReport;
 use eelgrasspier_peer::wire;
 
 use crate::router::Router;
@@ -65,9 +65,11 @@
         for replica in services.filter_map(|s| view.replicas.get(s)).flatten() {
             let mark = relays::mark(&replica.id);
             let Some(reported) = busy.iter().find(|b| b.mark == mark) else { continue };
-            let reported =
-                Told { load: reported.load, ratio: f64::from(reported.ratio_tenths) / 10.0 };
-            self.standing(&replica.id).borrow_mut().told(reported, now_ms);
+            let reported = ReplicaReport {
+                load: reported.load,
+                ratio: f64::from(reported.ratio_tenths) / 10.0,
+            };
+            self.standing(&replica.id).borrow_mut().apply_report(reported, now_ms);
         }
     }
 
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -102,8 +102,7 @@
             self.delegating_zones.insert(own_zone.into());
         }
         let gatherers = u64::try_from(self.gatherers.len()).unwrap_or(u64::MAX);
-        self.slack_sharers =
-            allowance::sharers_of_slack(self.instances, gatherers, self.is_gatherer);
+        self.slack_sharers = allowance::slack_divisor(self.instances, gatherers, self.is_gatherer);
         let mut zones: Vec<&Arc<str>> = self.replicas.values().flatten().map(|r| &r.zone).collect();
         zones.sort_unstable();
         zones.dedup();
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use eelgrasspier_backend::PartFailure;
-use eelgrasspier_decide::allowance::RepeatLimits;
+use eelgrasspier_decide::allowance::RetryLimits;
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::history::Edition;
 use eelgrasspier_decide::route::{Configuration, Route, RouteTable, ServiceLimits, Target};
@@ -235,14 +235,14 @@
     }
 }
 
-pub const LIMITS: RepeatLimits = RepeatLimits { ratio_milli: 200, slack: 54, window_ms: 10_000 };
+pub const LIMITS: RetryLimits = RetryLimits { ratio_milli: 200, slack: 54, window_ms: 10_000 };
 
 impl World {
     pub fn new(route: Route, services: usize) -> Self {
         Self::with_limits(route, services, LIMITS)
     }
 
-    pub fn with_limits(route: Route, services: usize, limits: RepeatLimits) -> Self {
+    pub fn with_limits(route: Route, services: usize, limits: RetryLimits) -> Self {
         let script = Rc::new(Script::default());
         let shared = Arc::new(Shared::new());
         let backend = Rc::new(Scripted(Rc::clone(&script)));
--- a/crates/router/tests/lost_relays.rs
+++ b/crates/router/tests/lost_relays.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use common::{World, in_real_time, route, view};
-use eelgrasspier_decide::allowance::RepeatLimits;
+use eelgrasspier_decide::allowance::RetryLimits;
 use eelgrasspier_peer::wire::Body;
 use eelgrasspier_peer::{AnswerFuture, PeerService, serve};
 use eelgrasspier_router::{Outcome, Peer, Router};
@@ -66,7 +66,7 @@
 
 /// An instance that relays within its zone and has no retry budget.
 fn relaying_instance(peers: Vec<Peer>) -> World {
-    let no_budget = RepeatLimits { ratio_milli: 0, slack: 0, window_ms: 10_000 };
+    let no_budget = RetryLimits { ratio_milli: 0, slack: 0, window_ms: 10_000 };
     let world = World::with_limits(long_route(), SHARDS, no_budget);
     let mut view = view(long_route(), SHARDS);
     view.is_gatherer = false;
@@ -118,7 +118,7 @@
 #[test]
 fn the_replacement_instance_pays_for_the_retries() {
     in_real_time(async {
-        let no_budget = RepeatLimits { ratio_milli: 0, slack: 0, window_ms: 10_000 };
+        let no_budget = RetryLimits { ratio_milli: 0, slack: 0, window_ms: 10_000 };
         let other = World::with_limits(long_route(), SHARDS, no_budget);
         let silent = start("silent", Rc::new(SilentService)).await;
         let healthy = start("sound", Rc::new(GatherService(Rc::clone(&other.router)))).await;
--- a/crates/router/tests/sends.rs
+++ b/crates/router/tests/sends.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Conduct, World, in_virtual_time, route};
-use eelgrasspier_decide::allowance::RepeatLimits;
+use eelgrasspier_decide::allowance::RetryLimits;
 use eelgrasspier_decide::prelude::Verdict;
 use eelgrasspier_decide::route::Target;
 use eelgrasspier_router::Outcome;
@@ -138,7 +138,7 @@
 #[test]
 fn a_misdirected_send_is_retried_without_the_retry_budget() {
     in_virtual_time(async {
-        let limits = RepeatLimits { ratio_milli: 0, slack: 0, window_ms: 10_000 };
+        let limits = RetryLimits { ratio_milli: 0, slack: 0, window_ms: 10_000 };
         let world = World::with_limits(route(1), 1, limits);
         world.script.set("s0/a", Conduct::Replaced);
         assert!(matches!(world.serve("r1", 400).await, Outcome::Merged(_)));
--- a/crates/standin/src/gossip_net.rs
+++ b/crates/standin/src/gossip_net.rs
@@ -6,7 +6,9 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-use eelgrasspier_decide::membership::{Datagram, Listed, Member, Membership, Send, State};
+use eelgrasspier_decide::membership::{
+    Datagram, ListedInstance, Member, Membership, OutgoingDatagram, State,
+};
 use eelgrasspier_decide::share::Agreement;
 use prost::Message;
 
@@ -28,7 +30,7 @@
 pub struct GossipNet {
     nodes: Vec<Node>,
     index_by_addr: BTreeMap<SocketAddr, usize>,
-    in_flight: Vec<(SocketAddr, Send)>,
+    in_flight: Vec<(SocketAddr, OutgoingDatagram)>,
     now_ms: u64,
     random: u64,
     lost_per_mille: u64,
@@ -49,8 +51,8 @@
     /// Creates `count` instances that each know a few others from the platform's list.
     #[must_use]
     pub fn new(count: usize, lost_per_mille: u64) -> Self {
-        let listed: Vec<Listed> = (0..count)
-            .map(|n| Listed {
+        let listed: Vec<ListedInstance> = (0..count)
+            .map(|n| ListedInstance {
                 name: format!("instance-{n}"),
                 zone: format!("zone-{}", n % 8),
                 peer_addr: instance_addr(n),
@@ -116,7 +118,7 @@
     #[must_use]
     pub fn all_know_version(&self, version: u64) -> bool {
         self.nodes.iter().all(|n| {
-            let others = n.membership.others().map(|m| m.config_version);
+            let others = n.membership.peers().map(|m| m.config_version);
             others.chain([n.membership.own().config_version]).max() >= Some(version)
         })
     }
@@ -125,21 +127,23 @@
     #[must_use]
     pub fn all_joined(&self) -> bool {
         let count = self.nodes.len();
-        self.nodes.iter().all(|n| n.membership.alive_count() == count)
+        self.nodes.iter().all(|n| n.membership.live_count() == count)
     }
 
     /// Returns true if all instances agree on the division of connections.
     #[must_use]
     pub fn all_agreed(&self) -> bool {
         let count = self.nodes.len();
-        self.nodes.iter().all(|n| n.agreement.is_agreed() && n.agreement.current().len() == count)
+        self.nodes
+            .iter()
+            .all(|n| n.agreement.is_agreed() && n.agreement.current_members().len() == count)
     }
 
     /// Removes one instance as in a planned stop.
     pub fn leave(&mut self, index: usize) {
         let random = self.next_random();
         self.nodes[index].membership.update_own(|m| m.state = State::Left as i32);
-        let sends = self.nodes[index].membership.farewell(16, 16, random);
+        let sends = self.nodes[index].membership.broadcast_own_record(16, 16, random);
         self.enqueue(index, sends);
         let node = self.nodes.remove(index);
         self.index_by_addr.remove(&own_addr(&node.membership));
@@ -147,7 +151,7 @@
         self.index_by_addr = nodes.map(|(n, node)| (own_addr(&node.membership), n)).collect();
     }
 
-    fn enqueue(&mut self, from: usize, sends: Vec<Send>) {
+    fn enqueue(&mut self, from: usize, sends: Vec<OutgoingDatagram>) {
         let from = own_addr(&self.nodes[from].membership);
         for send in sends {
             let size_bytes = encoded_bytes(&send.datagram);
@@ -172,20 +176,20 @@
 impl Node {
     /// Updates the share agreement after a membership change and announces its digest.
     fn update_agreement(&mut self) {
-        if self.seen_epoch == self.membership.epoch() {
+        if self.seen_epoch == self.membership.change_count() {
             return;
         }
-        self.seen_epoch = self.membership.epoch();
-        self.agreement.set_members(&self.membership.holders());
-        for member in self.membership.others() {
-            self.agreement.heard(member.key(), member.share_digest);
+        self.seen_epoch = self.membership.change_count();
+        self.agreement.set_members(&self.membership.possible_connection_holders());
+        for member in self.membership.peers() {
+            self.agreement.on_announcement(member.key(), member.share_digest);
         }
         let digest = self.agreement.digest();
         self.membership.update_own(|m| m.share_digest = digest);
     }
 }
 
-fn new_node(listed: &[Listed], number: usize, count: usize) -> Node {
+fn new_node(listed: &[ListedInstance], number: usize, count: usize) -> Node {
     let member = Member {
         name: listed[number].name.clone(),
         incarnation: 1_764_700_000_000,
--- a/crates/standin/src/slopes.rs
+++ b/crates/standin/src/slopes.rs
@@ -87,7 +87,7 @@
     const LIMIT: u32 = 25;
     let members: Vec<u64> = (0..count).map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15)).collect();
     let started = Instant::now();
-    let held: u32 = (0..REPLICAS).map(|r| share::connections(&members, members[0], r, LIMIT)).sum();
+    let held: u32 = (0..REPLICAS).map(|r| share::share_of(&members, members[0], r, LIMIT)).sum();
     black_box(held);
     started.elapsed().as_micros()
 }
--- a/crates/store/src/claims.rs
+++ b/crates/store/src/claims.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use displaydoc::Display;
-use eelgrasspier_decide::claim::{Bucket, Change, Key, Nonce, Outcome};
+use eelgrasspier_decide::claim::{Bucket, BucketChange, ClaimResult, Key, Nonce};
 use eelgrasspier_decide::rendezvous;
 use tokio::sync::oneshot;
 
@@ -48,7 +48,7 @@
     key: Key,
     nonce: Nonce,
     until: Instant,
-    done: oneshot::Sender<Outcome>,
+    done: oneshot::Sender<ClaimResult>,
 }
 
 #[derive(Debug, Default)]
@@ -114,7 +114,7 @@
         key: Key,
         nonce: Nonce,
         until: Instant,
-    ) -> Result<Outcome, ClaimError> {
+    ) -> Result<ClaimResult, ClaimError> {
         let mut pending = UnresolvedClaim { claims: self, key, nonce, is_unresolved: true };
         let outcome = self.claim_on_behalf(key, nonce, until).await?;
         pending.is_unresolved = false;
@@ -134,7 +134,7 @@
         key: Key,
         nonce: Nonce,
         until: Instant,
-    ) -> Result<Outcome, ClaimError> {
+    ) -> Result<ClaimResult, ClaimError> {
         let (done, resolved) = oneshot::channel();
         let bucket = bucket_of(key);
         self.buckets[bucket].borrow_mut().waiting.push(PendingClaim { key, nonce, until, done });
@@ -230,7 +230,7 @@
         }
         let mut next = current;
         next.raise_floor(now_ms().saturating_sub(RETENTION_MS), MAX_CLAIMS);
-        let next = next.with(&batch);
+        let next = next.with_changes(&batch);
         let name = stored::bucket_object(bucket);
         let updated = self.store.update(&name, version, stored::encode_bucket(&next)).await;
         let mut state = self.buckets[bucket].borrow_mut();
@@ -281,7 +281,7 @@
                 "bucket {bucket} is from era {}, platform is in era {era}: refusing keys issued before {floor_ms} ms",
                 cached.1.era
             );
-            cached.1.enter(era, floor_ms, &state.last_confirmed);
+            cached.1.enter_era(era, floor_ms, &state.last_confirmed);
         }
         state.cached = Some(cached.clone());
         Ok(cached)
@@ -308,10 +308,10 @@
         }
     }
 
-    fn batch(&self, bucket: usize) -> Vec<Change> {
+    fn batch(&self, bucket: usize) -> Vec<BucketChange> {
         let state = self.buckets[bucket].borrow();
-        let releases = state.releases.iter().map(|&(key, nonce)| Change::Release(key, nonce));
-        let claims = state.waiting.iter().map(|w| Change::Claim(w.key, w.nonce));
+        let releases = state.releases.iter().map(|&(key, nonce)| BucketChange::Release(key, nonce));
+        let claims = state.waiting.iter().map(|w| BucketChange::Claim(w.key, w.nonce));
         releases.chain(claims).collect()
     }
 
@@ -320,9 +320,9 @@
     /// Only a confirmed update completes a release, even if the bucket did not hold the claim. An
     /// earlier update in flight could still add the claim, but no longer once the bucket's version
     /// has changed.
-    fn remove_confirmed_releases(&self, bucket: usize, batch: &[Change]) {
+    fn remove_confirmed_releases(&self, bucket: usize, batch: &[BucketChange]) {
         let mut state = self.buckets[bucket].borrow_mut();
-        state.releases.retain(|&(key, nonce)| !batch.contains(&Change::Release(key, nonce)));
+        state.releases.retain(|&(key, nonce)| !batch.contains(&BucketChange::Release(key, nonce)));
     }
 }
 
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -8,7 +8,7 @@
 use awc::http::{StatusCode, header};
 use awc::{Client, Connector};
 use bytes::Bytes;
-use eelgrasspier_decide::history::{Eras, Position, Told};
+use eelgrasspier_decide::history::{EraComparison, EraTracker, Position};
 
 use crate::store::{ListedInstance, Object, ObjectStore, ReadError, StoreFuture, UpdateError};
 
@@ -27,7 +27,7 @@
     base: String,
     client: Client,
     timeout_ms: u64,
-    eras: Rc<RefCell<Eras>>,
+    eras: Rc<RefCell<EraTracker>>,
 }
 
 impl std::fmt::Debug for HttpStore {
@@ -66,7 +66,7 @@
         let version = etag.and_then(|tag| tag.trim_matches('"').parse().ok());
         let revision = version.ok_or_else(|| format!("no version in ETag {etag:?}"))?;
         self.update_era(headers, request_era)?;
-        Ok(Position { era: self.era(), revision }.to_number())
+        Ok(Position { era: self.era(), revision }.to_packed())
     }
 
     /// Applies the era in an answer's headers.
@@ -74,18 +74,20 @@
         let text = headers.get(ERA).and_then(|era| era.to_str().ok());
         let era = text.and_then(|era| era.trim().parse().ok());
         let before = self.era();
-        match self.eras.borrow_mut().take(era, request_era, false) {
-            Told::Same => {}
-            Told::Restored => {
+        match self.eras.borrow_mut().observe_answer(era, request_era, false) {
+            EraComparison::Unchanged => {}
+            EraComparison::Restored => {
                 log::warn!(
                     "platform was restored from a backup: era {text:?}, previously {before}"
                 );
                 metrics::counter!("eelgrasspier_platform_restores_total").increment(1);
             }
-            Told::Late => {
+            EraComparison::Stale => {
                 return Err(format!("answer from earlier era {text:?}, current era is {before}"));
             }
-            Told::Back => log::debug!("platform reports earlier era {text:?}, previously {before}"),
+            EraComparison::Regressed => {
+                log::debug!("platform reports earlier era {text:?}, previously {before}")
+            }
         }
         Ok(())
     }
@@ -122,7 +124,7 @@
         let request = self.client.put(self.object_url(name));
         let request = match expected {
             Some(version) => {
-                let revision = Position::from_number(version).revision;
+                let revision = Position::from_packed(version).revision;
                 request.insert_header((header::IF_MATCH, format!("\"{revision}\"")))
             }
             None => request.insert_header((header::IF_NONE_MATCH, "*")),
@@ -133,8 +135,8 @@
             StatusCode::OK | StatusCode::CREATED | StatusCode::NO_CONTENT => {
                 let version = self.version_of(answer.headers(), request_era);
                 let version = version.map_err(UpdateError::Unknown)?;
-                let era = Position::from_number(version).era;
-                let is_other_era = |expected| Position::from_number(expected).era != era;
+                let era = Position::from_packed(version).era;
+                let is_other_era = |expected| Position::from_packed(expected).era != era;
                 if expected.is_some_and(is_other_era) || era != request_era {
                     let text = format!("the platform was restored during the update: era {era}");
                     return Err(UpdateError::Unknown(text));
@@ -184,7 +186,7 @@
     ) -> StoreFuture<'a, Result<Option<Object>, ReadError>> {
         count_call("watch");
         // After a restore, every object counts as changed.
-        let Position { era, revision } = Position::from_number(after);
+        let Position { era, revision } = Position::from_packed(after);
         let after = if era == self.era() { revision } else { 0 };
         let url = format!("{}?watch_after={after}&wait_ms={wait_ms}", self.object_url(name));
         Box::pin(async move { self.get(&url, wait_ms + WATCH_MARGIN_MS).await })
