--- a/crates/backend/src/report.rs
+++ b/crates/backend/src/report.rs
@@ -1,7 +1,7 @@
 //! Server state reported in the headers of each answer.
 
 use awc::http::header::{HeaderMap, HeaderName};
-use eelgrasspier_decide::snapshot::Held;
+use eelgrasspier_decide::snapshot::HeldVersion;
 
 use crate::headers;
 
@@ -15,7 +15,7 @@
     /// Start time of the server process in milliseconds since the Unix epoch; 0 if not reported.
     pub incarnation: u64,
     /// Index versions held by the server; empty if not reported.
-    pub held: Vec<Held>,
+    pub held: Vec<HeldVersion>,
 }
 
 impl From<&HeaderMap> for Report {
@@ -38,10 +38,10 @@
     header_text(map, name)?.trim().parse().ok()
 }
 
-fn parse_held_versions(list: &str) -> Vec<Held> {
+fn parse_held_versions(list: &str) -> Vec<HeldVersion> {
     let entries = list.split(',').filter_map(|entry| {
         let (version, shard_count) = entry.trim().split_once('/')?;
-        Some(Held { version: version.parse().ok()?, shard_count: shard_count.parse().ok()? })
+        Some(HeldVersion { version: version.parse().ok()?, shard_count: shard_count.parse().ok()? })
     });
     entries.collect()
 }
--- a/crates/caller/src/request.rs
+++ b/crates/caller/src/request.rs
@@ -6,7 +6,7 @@
 use displaydoc::Display;
 use eelgrasspier_decide::claim::Key;
 use eelgrasspier_decide::prelude::{IndexVersion, Service, ShardId};
-use eelgrasspier_decide::text::is_name;
+use eelgrasspier_decide::text::is_valid_name;
 
 /// Headers of callers' requests and of the answers to them.
 pub mod headers {
@@ -176,7 +176,7 @@
 
 fn parse_team(request: &HttpRequest, service: &Service) -> Result<(String, u32), CallError> {
     let name = header(request, headers::TEAM)?.unwrap_or(DEFAULT_TEAM);
-    if !is_name(name) {
+    if !is_valid_name(name) {
         return Err(CallError::BadHeader { name: headers::TEAM, value: name.to_owned() });
     }
     if service.teams.is_empty() {
--- a/crates/decide/src/cold.rs
+++ b/crates/decide/src/cold.rs
@@ -27,17 +27,17 @@
 
 /// Tolerance above the rate limit of a cold replica, as set by the operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ColdBounds {
+pub struct ColdTolerance {
     /// Factor of the rate, in thousandths.
-    pub over_milli: u64,
+    pub rate_factor_milli: u64,
     /// Additional requests.
     pub slack: u64,
 }
 
-impl Default for ColdBounds {
+impl Default for ColdTolerance {
     /// No tolerance above the rate.
     fn default() -> Self {
-        Self { over_milli: MILLI, slack: 0 }
+        Self { rate_factor_milli: MILLI, slack: 0 }
     }
 }
 
@@ -45,22 +45,22 @@
 ///
 /// `rate_milli` is the rate limit of a cold replica, in thousandths of a request per second.
 #[must_use]
-pub fn share(rate_milli: u64, bounds: ColdBounds) -> Option<usize> {
+pub fn coordinator_limit(rate_milli: u64, bounds: ColdTolerance) -> Option<usize> {
     if rate_milli == 0 {
         return None;
     }
-    let max_milli = rate_milli * bounds.over_milli / MILLI + bounds.slack * MILLI;
+    let max_milli = rate_milli * bounds.rate_factor_milli / MILLI + bounds.slack * MILLI;
     let share_milli = rate_milli.max(MILLI).min(max_milli / MAX_KEEPERS);
     Some(usize::try_from(share_milli / MILLI).unwrap_or(usize::MAX))
 }
 
 /// Sliding windows of the requests that one instance permitted to each cold replica.
 #[derive(Debug, Clone, Default)]
-pub struct Windows {
+pub struct SlidingWindows {
     sent_at_ms: HashMap<Arc<str>, VecDeque<u64>>,
 }
 
-impl Windows {
+impl SlidingWindows {
     /// Returns true if one more request may be sent to a replica.
     #[must_use]
     pub fn has_room(&self, replica: &str, share: usize, now_ms: u64) -> bool {
@@ -70,7 +70,7 @@
     }
 
     /// Records one request to a replica; returns false if it may not be sent.
-    pub fn take(&mut self, replica: &Arc<str>, share: usize, now_ms: u64) -> bool {
+    pub fn try_record(&mut self, replica: &Arc<str>, share: usize, now_ms: u64) -> bool {
         if !self.has_room(replica, share, now_ms) {
             return false;
         }
@@ -83,7 +83,7 @@
     }
 
     /// Removes replicas without recent requests.
-    pub fn tidy(&mut self, now_ms: u64) {
+    pub fn remove_idle(&mut self, now_ms: u64) {
         let is_counted = |at_ms: &u64| at_ms + WINDOW_MS > now_ms;
         self.sent_at_ms.retain(|_, sent| sent.back().is_some_and(is_counted));
     }
@@ -91,13 +91,13 @@
 
 /// Potential keepers of each zone and the time of their last change.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Settled {
+pub struct CoordinatorStability {
     zones: BTreeMap<Arc<str>, (Vec<u64>, u64)>,
 }
 
-impl Settled {
+impl CoordinatorStability {
     /// Updates the keys of the potential keepers of each zone, given in any order.
-    pub fn note(&mut self, mut keys: BTreeMap<Arc<str>, Vec<u64>>, now_ms: u64) {
+    pub fn update(&mut self, mut keys: BTreeMap<Arc<str>, Vec<u64>>, now_ms: u64) {
         for zone in self.zones.keys() {
             keys.entry(Arc::clone(zone)).or_default();
         }
@@ -114,7 +114,7 @@
     ///
     /// `zone` is `None` for all zones, whose instances stand in for a zone that has none.
     #[must_use]
-    pub fn is_settled(&self, zone: Option<&str>, now_ms: u64) -> bool {
+    pub fn is_stable(&self, zone: Option<&str>, now_ms: u64) -> bool {
         let mut counted = self.zones.iter().filter(|(name, _)| zone.is_none_or(|z| z == &***name));
         counted.all(|(_, (_, since_ms))| now_ms >= since_ms + SETTLE_DELAY_MS)
     }
@@ -125,7 +125,7 @@
 /// `fleet` is the number of all instances, including those that it does not know: an instance that
 /// starts while partitioned knows no others, but is not alone.
 #[must_use]
-pub fn is_in_touch(fleet: u64, last_received_ms: Option<u64>, now_ms: u64) -> bool {
+pub fn is_connected(fleet: u64, last_received_ms: Option<u64>, now_ms: u64) -> bool {
     fleet <= 1
         || last_received_ms
             .is_some_and(|last_received_ms| now_ms < last_received_ms + PARTITION_TIMEOUT_MS)
--- a/crates/decide/src/connections.rs
+++ b/crates/decide/src/connections.rs
@@ -6,7 +6,7 @@
 //! send the replica most of its requests.
 
 /// Number of connections to a replica that each instance may always open.
-pub const LEAST_CONNECTIONS: u32 = 1;
+pub const MIN_CONNECTIONS: u32 = 1;
 /// Part of a replica's connections for the instances of its own zone, in percent.
 ///
 /// They send it most of its requests, but it works on only a few at a time. With more connections,
@@ -23,46 +23,53 @@
 
 /// Membership as seen from one instance, for the replicas of one zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub struct MembershipView {
     /// True if this instance gathers and is in the replicas' zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
     /// True if some instances of that zone gather for the others of the zone.
-    pub is_sliced: bool,
+    pub has_delegating_instances: bool,
     /// Number of other gathering instances in that zone.
-    pub near_peers: u32,
+    pub same_zone_gatherers: u32,
     /// Number of other gathering instances in other zones.
-    pub far_peers: u32,
+    pub other_zone_gatherers: u32,
     /// Number of instances that are not known yet but hold connections too.
-    pub unknown: u32,
+    pub unknown_instances: u32,
 }
 
 /// Part of a replica's connections for one instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Part {
+pub struct ConnectionShare {
     percent: u32,
     instances: u32,
 }
 
-impl Part {
+impl ConnectionShare {
     /// Returns the number of connections for this part if the replica accepts `all`.
     #[must_use]
-    pub fn of(self, all: u32) -> u32 {
-        (all * self.percent / 100 / self.instances.max(1)).max(LEAST_CONNECTIONS)
+    pub fn connections(self, all: u32) -> u32 {
+        (all * self.percent / 100 / self.instances.max(1)).max(MIN_CONNECTIONS)
     }
 }
 
-impl From<Place> for Part {
-    fn from(place: Place) -> Self {
-        let Place { is_near, is_sliced, near_peers, far_peers, unknown } = place;
-        if is_near {
-            let instances = near_peers + 1 + unknown.div_ceil(UNKNOWN_IN_ZONE_DIVISOR);
+impl From<MembershipView> for ConnectionShare {
+    fn from(view: MembershipView) -> Self {
+        let MembershipView {
+            is_same_zone,
+            has_delegating_instances,
+            same_zone_gatherers,
+            other_zone_gatherers,
+            unknown_instances,
+        } = view;
+        if is_same_zone {
+            let instances =
+                same_zone_gatherers + 1 + unknown_instances.div_ceil(UNKNOWN_IN_ZONE_DIVISOR);
             return Self { percent: NEAR_PERCENT, instances };
         }
-        let instances = if is_sliced {
+        let instances = if has_delegating_instances {
             // In each zone one instance gathers the shard; the others send hardly anything.
-            far_peers.div_ceil(near_peers.max(1)) * 2 + 1 + unknown
+            other_zone_gatherers.div_ceil(same_zone_gatherers.max(1)) * 2 + 1 + unknown_instances
         } else {
-            far_peers + 1 + unknown
+            other_zone_gatherers + 1 + unknown_instances
         };
         Self { percent: FAR_PERCENT, instances }
     }
--- a/crates/decide/src/contacts.rs
+++ b/crates/decide/src/contacts.rs
@@ -27,6 +27,6 @@
 
 /// Returns true if an entry that states `written` instances must be rewritten.
 #[must_use]
-pub fn is_outdated(written: u64, instances: u64) -> bool {
+pub fn must_rewrite(written: u64, instances: u64) -> bool {
     written.abs_diff(instances) > written / RESIZE_DIVISOR
 }
--- a/crates/decide/src/evacuations.rs
+++ b/crates/decide/src/evacuations.rs
@@ -14,13 +14,13 @@
     /// No more requests may be sent to the zone's replicas.
     Evacuated(Arc<str>),
     /// The zone may be used again.
-    TakenBack(Arc<str>),
+    Returned(Arc<str>),
 }
 
 /// Evacuated zones, and zones that were taken back.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Evacuations {
-    evacuated: BTreeSet<Arc<str>>,
+    evacuated_zones: BTreeSet<Arc<str>>,
     /// Time at which each zone was taken back, in milliseconds.
     taken_back_at_ms: BTreeMap<Arc<str>, u64>,
 }
@@ -34,10 +34,10 @@
         match change {
             ZoneChange::Evacuated(zone) => {
                 self.taken_back_at_ms.remove(&zone);
-                self.evacuated.insert(zone)
+                self.evacuated_zones.insert(zone)
             }
-            ZoneChange::TakenBack(zone) => {
-                self.evacuated.remove(&zone);
+            ZoneChange::Returned(zone) => {
+                self.evacuated_zones.remove(&zone);
                 self.taken_back_at_ms.insert(zone, now_ms).is_none()
             }
         }
@@ -46,12 +46,12 @@
     /// Returns true if no requests may be sent to the zone's replicas.
     #[must_use]
     pub fn is_evacuated(&self, zone: &str) -> bool {
-        self.evacuated.contains(zone)
+        self.evacuated_zones.contains(zone)
     }
 
     /// Returns the evacuated zones.
-    pub fn evacuated(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.evacuated.iter()
+    pub fn evacuated_zones(&self) -> impl Iterator<Item = &Arc<str>> {
+        self.evacuated_zones.iter()
     }
 
     /// Returns the time until which the zone's replicas count as cold, given a warm-up of
--- a/crates/decide/src/fingerprint.rs
+++ b/crates/decide/src/fingerprint.rs
@@ -26,7 +26,7 @@
 
     /// Returns the sort key of a shard in the order in which this request is tried on shards.
     #[must_use]
-    pub fn order(self, service: &str) -> u64 {
+    pub fn shard_order_key(self, service: &str) -> u64 {
         crate::rendezvous::weight(self.0, crate::rendezvous::hash(service))
     }
 }
--- a/crates/decide/src/gatherers.rs
+++ b/crates/decide/src/gatherers.rs
@@ -34,7 +34,7 @@
 /// send saves a millisecond in the latency of the answer. An instance that joins or leaves affects
 /// only its own place.
 #[must_use]
-pub fn choose(zone: &str, candidates: &[Candidate]) -> Vec<u64> {
+pub fn select_gatherers(zone: &str, candidates: &[Candidate]) -> Vec<u64> {
     let mut ranked = candidates.to_vec();
     let zone_key = rendezvous::hash(zone);
     ranked.sort_by_key(|c| {
--- a/crates/decide/src/gossip.rs
+++ b/crates/decide/src/gossip.rs
@@ -8,7 +8,7 @@
 /// State that an instance announces for itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum State {
+pub enum InstanceState {
     /// It has no configuration yet, or no share of connections.
     Starting = 0,
     /// It serves callers.
@@ -44,7 +44,7 @@
     #[prost(uint64, tag = "3")]
     pub revision: u64,
     /// State that it announces.
-    #[prost(enumeration = "State", tag = "4")]
+    #[prost(enumeration = "InstanceState", tag = "4")]
     pub state: i32,
     /// Liveness as seen by the others.
     #[prost(enumeration = "Liveness", tag = "5")]
--- a/crates/decide/src/hedge.rs
+++ b/crates/decide/src/hedge.rs
@@ -14,18 +14,18 @@
 /// A histogram with geometric buckets, each 9 % wide. Counts are halved regularly so that the
 /// quantile follows the load.
 #[derive(Debug, Clone)]
-pub struct Quantile {
+pub struct LatencyQuantile {
     counts: Vec<u32>,
     total: u32,
 }
 
-impl Default for Quantile {
+impl Default for LatencyQuantile {
     fn default() -> Self {
         Self { counts: vec![0; BUCKET_COUNT], total: 0 }
     }
 }
 
-impl Quantile {
+impl LatencyQuantile {
     /// Records one measured latency.
     pub fn record(&mut self, latency_us: u64) {
         self.counts[bucket(latency_us)] += 1;
--- a/crates/decide/src/holders.rs
+++ b/crates/decide/src/holders.rs
@@ -4,7 +4,7 @@
 
 /// A live instance that has one of the shard's replicas in its slice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Holder {
+pub struct SlicePeer {
     /// Its key in member lists.
     pub key: u64,
     /// True if it has announced that it is ready.
@@ -16,7 +16,7 @@
 /// If none is ready, a starting one is asked: it may have become ready by now, and otherwise
 /// replies at once that it has no connection yet.
 #[must_use]
-pub fn pick(holders: &[Holder], random: u64) -> Option<u64> {
-    let priority = |holder: &&Holder| (holder.is_ready, rendezvous::weight(random, holder.key));
+pub fn pick_peer(holders: &[SlicePeer], random: u64) -> Option<u64> {
+    let priority = |holder: &&SlicePeer| (holder.is_ready, rendezvous::weight(random, holder.key));
     holders.iter().max_by_key(priority).map(|holder| holder.key)
 }
--- a/crates/decide/src/homes.rs
+++ b/crates/decide/src/homes.rs
@@ -23,7 +23,7 @@
     /// region: a wrongly refused request can be repeated, but one sent to a foreign region cannot
     /// be undone.
     #[must_use]
-    pub fn is_home(&self, homes: &[Arc<str>], zone: &str) -> bool {
+    pub fn is_home_zone(&self, homes: &[Arc<str>], zone: &str) -> bool {
         homes.is_empty() || self.by_zone.get(zone).is_some_and(|region| homes.contains(region))
     }
 }
--- a/crates/decide/src/membership/mod.rs
+++ b/crates/decide/src/membership/mod.rs
@@ -19,8 +19,8 @@
 
 use crate::fingerprint::Fingerprint;
 pub use crate::gossip::{
-    Datagram, LeavingServer, ListedInstance, Liveness, Member, MembershipChange, OutgoingDatagram,
-    Purpose, State,
+    Datagram, InstanceState, LeavingServer, ListedInstance, Liveness, Member, MembershipChange,
+    OutgoingDatagram, Purpose,
 };
 use crate::quarantine::Quarantine;
 use crate::rendezvous;
@@ -38,12 +38,12 @@
 
 impl PeerRecord {
     fn is_dead_or_left(&self) -> bool {
-        self.member.liveness() == Liveness::Dead || self.member.state() == State::Left
+        self.member.liveness() == Liveness::Dead || self.member.state() == InstanceState::Left
     }
 
     /// True if the instance is probed; dead ones are included, since they may return.
     fn is_probe_target(&self) -> bool {
-        self.member.state() != State::Left
+        self.member.state() != InstanceState::Left
     }
 }
 
@@ -182,8 +182,9 @@
     /// listed by the platform: a paused process answers no probe but still holds its connections.
     #[must_use]
     pub fn possible_connection_holders(&self) -> std::collections::BTreeSet<u64> {
-        let left =
-            |name: &String| self.peers.get(name).is_some_and(|k| k.member.state() == State::Left);
+        let left = |name: &String| {
+            self.peers.get(name).is_some_and(|k| k.member.state() == InstanceState::Left)
+        };
         let listed = self.listed.keys().filter(|name| !left(name));
         let alive = self.peers.iter().filter(|(_, k)| !k.is_dead_or_left()).map(|(name, _)| name);
         let names = listed.chain(alive).map(|name| rendezvous::hash(name));
@@ -288,7 +289,7 @@
     fn record_change(&mut self, known: &PeerRecord, was_dead_or_left: bool) {
         let name = known.member.name.clone();
         match (known.member.state(), known.member.liveness()) {
-            (State::Left, _) => self.changes.push(MembershipChange::Left(name)),
+            (InstanceState::Left, _) => self.changes.push(MembershipChange::Left(name)),
             (_, Liveness::Dead) => self.changes.push(MembershipChange::DeclaredDead(name)),
             (_, Liveness::Suspect) => self.changes.push(MembershipChange::Suspected(name)),
             (_, Liveness::Alive) if was_dead_or_left => {
--- a/crates/decide/src/merge.rs
+++ b/crates/decide/src/merge.rs
@@ -12,12 +12,12 @@
 ///
 /// Memory is bounded by the number of records kept, not by the parts; each part is scanned once.
 #[derive(Debug, Clone)]
-pub struct Greatest {
+pub struct TopRecords {
     max_records: usize,
     kept: BinaryHeap<Reverse<Record>>,
 }
 
-impl Greatest {
+impl TopRecords {
     /// Creates a selection of up to `max_records` records.
     #[must_use]
     pub fn new(max_records: usize) -> Self {
--- a/crates/decide/src/outage.rs
+++ b/crates/decide/src/outage.rs
@@ -1,11 +1,11 @@
 //! Backoff between attempts to reach a store that does not answer.
 
 /// Initial backoff after a failed call, in milliseconds.
-pub const LEAST_PAUSE_MS: u64 = 60;
+pub const MIN_BACKOFF_MS: u64 = 60;
 /// Maximum backoff in a small fleet, in milliseconds.
 ///
 /// Within it, at least one of a few instances notices that the store is back.
-pub const MOST_PAUSE_MS: u64 = 600;
+pub const MAX_BACKOFF_MS: u64 = 600;
 /// Number of instances per multiple of the maximum backoff, and the limit of that multiple.
 ///
 /// Refused calls cost money, too: 77 instances made 2,500 of them in an outage of six seconds. An
@@ -18,8 +18,8 @@
 ///
 /// Only long backoffs are scaled, since most failures are brief.
 #[must_use]
-pub fn pause_ms(pause_ms: u64, instances: u64) -> u64 {
-    if pause_ms < MOST_PAUSE_MS / 2 {
+pub fn scaled_backoff_ms(pause_ms: u64, instances: u64) -> u64 {
+    if pause_ms < MAX_BACKOFF_MS / 2 {
         return pause_ms;
     }
     pause_ms * (instances / INSTANCES_PER_MULTIPLE).clamp(1, MAX_MULTIPLE)
--- a/crates/decide/src/problem.rs
+++ b/crates/decide/src/problem.rs
@@ -6,7 +6,7 @@
 
 /// Error in a line of the text.
 #[derive(Debug, Display, Clone, PartialEq, Eq)]
-pub enum Problem {
+pub enum ProblemKind {
     /// invalid INI syntax: {0}
     Syntax(String),
     /// the text has {size_bytes} bytes, which is more than the platform can store
@@ -56,7 +56,7 @@
     /// Line number, counted from 1.
     pub line: usize,
     /// Kind of error.
-    pub problem: Problem,
+    pub problem: ProblemKind,
 }
 
 /// All errors of a text, in order of lines.
--- a/crates/decide/src/pulls.rs
+++ b/crates/decide/src/pulls.rs
@@ -12,18 +12,18 @@
 /// It is some hundred round trips within a region.
 pub const HEDGE_AFTER_MS: u64 = 400;
 /// Timeout of a pull in milliseconds, sufficient for 10 MB over a link of 30 Mbit/s.
-pub const GIVE_UP_MS: u64 = 2_500;
+pub const PULL_TIMEOUT_MS: u64 = 2_500;
 /// Maximum number of concurrent pulls; each takes bandwidth from the others.
 const MAX_CONCURRENT_PULLS: usize = 3;
 
 /// Pulls of one kind of objects that are in progress.
 #[derive(Debug, Clone, Default)]
-pub struct Pulls {
+pub struct ConcurrentPulls {
     /// Instances being asked, with the start time in milliseconds; the latest is last.
     in_progress: Vec<(String, u64)>,
 }
 
-impl Pulls {
+impl ConcurrentPulls {
     /// Returns true if another pull may be started now.
     #[must_use]
     pub fn may_start(&self, now_ms: u64) -> bool {
@@ -33,17 +33,17 @@
 
     /// Returns true if a pull from `instance` is in progress.
     #[must_use]
-    pub fn is_asked(&self, instance: &str) -> bool {
+    pub fn is_pulling_from(&self, instance: &str) -> bool {
         self.in_progress.iter().any(|(name, _)| name == instance)
     }
 
     /// Records the start of a pull from `instance`.
-    pub fn start(&mut self, instance: &str, now_ms: u64) {
+    pub fn record_start(&mut self, instance: &str, now_ms: u64) {
         self.in_progress.push((instance.to_owned(), now_ms));
     }
 
     /// Records the end of the pull from `instance`, by an answer or a timeout.
-    pub fn end(&mut self, instance: &str) {
+    pub fn record_end(&mut self, instance: &str) {
         self.in_progress.retain(|(name, _)| name != instance);
     }
 }
--- a/crates/decide/src/relays.rs
+++ b/crates/decide/src/relays.rs
@@ -11,7 +11,7 @@
 /// Minimum number of shards in a group; smaller groups are requested directly.
 ///
 /// The merged answer of one shard is about as long as its part, and the relay adds latency.
-pub const LEAST_GROUP: usize = 2;
+pub const MIN_GROUP_SHARDS: usize = 2;
 
 /// Shards to be requested through one zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -32,10 +32,15 @@
 /// instance, which sends to them. Without this, when two in five replicas were bad, one shard in
 /// six got two bad ones of three, and no answer was complete enough.
 #[must_use]
-pub fn allowed(replicas: &[Place<'_>], zone: &str, attempts: usize, request: u64) -> Vec<usize> {
+pub fn select_replicas(
+    replicas: &[ReplicaLocation<'_>],
+    zone: &str,
+    attempts: usize,
+    request: u64,
+) -> Vec<usize> {
     let mut order: Vec<usize> = (0..replicas.len()).collect();
     order.sort_by_key(|&i| {
-        let Place { id, zone: place, is_slow } = replicas[i];
+        let ReplicaLocation { id, zone: place, is_slow } = replicas[i];
         (is_slow, place != zone, rendezvous::weight(request, rendezvous::hash(id)))
     });
     order.truncate(attempts.max(1));
@@ -43,20 +48,20 @@
 }
 
 /// Id hash that stands for no replica.
-pub const NO_MARK: u32 = 0;
+pub const NO_REPLICA_HASH: u32 = 0;
 
 /// Returns a short hash of a replica's id.
 ///
 /// The few replicas of one shard hardly ever collide; a collision permits one more replica.
 #[must_use]
-pub fn mark(id: &str) -> u32 {
+pub fn replica_hash(id: &str) -> u32 {
     const HALF: u32 = 32;
-    u32::try_from(rendezvous::hash(id) >> HALF).unwrap_or(u32::MAX).max(NO_MARK + 1)
+    u32::try_from(rendezvous::hash(id) >> HALF).unwrap_or(u32::MAX).max(NO_REPLICA_HASH + 1)
 }
 
 /// Replica and its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place<'a> {
+pub struct ReplicaLocation<'a> {
     /// Id of the replica.
     pub id: &'a str,
     /// Availability zone of the replica.
@@ -72,7 +77,7 @@
 /// Otherwise all instances would ask the zone with the most replicas. `turn` rotates between
 /// equally good zones.
 #[must_use]
-pub fn group<'a>(
+pub fn group_by_zone<'a>(
     mut zones: BTreeMap<usize, Vec<&'a str>>,
     first: &'a str,
     min_shards: usize,
--- a/crates/decide/src/replica.rs
+++ b/crates/decide/src/replica.rs
@@ -15,7 +15,7 @@
 
 /// Load and latency of a replica, as seen by one traffic thread.
 #[derive(Debug, Clone, Default)]
-pub struct Load {
+pub struct ReplicaLoad {
     /// Number of this thread's requests in progress at the replica.
     pub outstanding: u32,
     mean_us: u64,
@@ -27,9 +27,9 @@
     consecutive_abandoned: u32,
 }
 
-impl Load {
+impl ReplicaLoad {
     /// Records an answer with its latency and the number of requests that it reported.
-    pub fn answered(&mut self, latency_us: u64, reported: Option<u32>, now_ms: u64) {
+    pub fn record_answer(&mut self, latency_us: u64, reported: Option<u32>, now_ms: u64) {
         if self.mean_us == 0 {
             self.mean_us = latency_us;
         }
@@ -47,7 +47,7 @@
     /// ignored, a slow replica would look as fast as its few timely answers and would still be
     /// selected. Consecutive exchanges without an answer weigh more and more, so that an
     /// unreachable replica is soon avoided.
-    pub fn outrun(&mut self, elapsed_us: u64, now_ms: u64) {
+    pub fn record_abandoned(&mut self, elapsed_us: u64, now_ms: u64) {
         if elapsed_us > self.mean_us {
             self.record_latency(elapsed_us);
         }
@@ -57,7 +57,7 @@
     }
 
     /// Records that the replica shed a request, failed or timed out.
-    pub fn failed(&mut self, now_ms: u64) {
+    pub fn record_failure(&mut self, now_ms: u64) {
         self.add_penalty(FAILURE_PENALTY_US, now_ms);
     }
 
@@ -102,12 +102,12 @@
     /// Cost as returned by [`Load::cost_us`].
     pub cost_us: u64,
     /// True if the replica is in this instance's availability zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
 }
 
 /// Selection policy; all but the default are kept for comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Choice {
+pub enum SelectionPolicy {
     /// Lowest expected cost; a replica in another zone costs [`CROSS_ZONE_COST_US`] more.
     #[default]
     LeastCost,
@@ -120,15 +120,19 @@
 
 /// Selects a replica; `random` breaks ties.
 #[must_use]
-pub fn pick(candidates: &[Candidate], choice: Choice, random: u64) -> Option<usize> {
+pub fn select_replica(
+    candidates: &[Candidate],
+    choice: SelectionPolicy,
+    random: u64,
+) -> Option<usize> {
     if candidates.is_empty() {
         return None;
     }
     let start = usize::try_from(random % candidates.len() as u64).unwrap_or(0);
-    if choice == Choice::Random {
+    if choice == SelectionPolicy::Random {
         return Some(candidates[start].index);
     }
-    let cost = |c: &Candidate| c.cost_us + if c.is_near { 0 } else { CROSS_ZONE_COST_US };
+    let cost = |c: &Candidate| c.cost_us + if c.is_same_zone { 0 } else { CROSS_ZONE_COST_US };
     let rotated = candidates[start..].iter().chain(&candidates[..start]);
     rotated.min_by_key(|c| cost(c)).map(|c| c.index)
 }
--- a/crates/decide/src/roster.rs
+++ b/crates/decide/src/roster.rs
@@ -14,19 +14,19 @@
 
 /// Listed instances that are missing, with the time since when.
 #[derive(Debug, Clone, Default)]
-pub struct Roster {
+pub struct StaleEntries {
     missing_since_ms: BTreeMap<String, u64>,
     /// True if the last list lacked this instance's entry.
     was_own_missing: bool,
 }
 
-impl Roster {
+impl StaleEntries {
     /// Returns the names of the `listed` entries to remove.
     ///
     /// Removes none if more than half of the listed instances are missing, since then this instance
     /// is more likely to be cut off.
     #[must_use]
-    pub fn gone(
+    pub fn stale(
         &mut self,
         listed: &[&str],
         is_present: impl Fn(&str) -> bool,
@@ -47,7 +47,7 @@
     /// Returns true if this instance must write its entry again.
     ///
     /// Lists may be seconds old, so the entry must be missing from two in a row.
-    pub fn is_own_lost(&mut self, is_listed: bool) -> bool {
+    pub fn must_rewrite_own(&mut self, is_listed: bool) -> bool {
         let must_rewrite = !is_listed && self.was_own_missing;
         self.was_own_missing = !is_listed && !must_rewrite;
         must_rewrite
--- a/crates/decide/src/route.rs
+++ b/crates/decide/src/route.rs
@@ -5,7 +5,7 @@
 
 /// Service in a weighted split.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Weighted {
+pub struct WeightedService {
     /// Name of the service.
     pub service: Arc<str>,
     /// Share of the requests, relative to the other weights.
@@ -18,7 +18,7 @@
     /// One replica of one service.
     Service(Arc<str>),
     /// One replica of one of several services, selected by weight.
-    Split(Vec<Weighted>),
+    Split(Vec<WeightedService>),
     /// One replica of each shard; every shard is a separate service.
     Shards(Arc<[Arc<str>]>),
 }
@@ -43,11 +43,11 @@
     /// Latency within which an answer has its full value, in milliseconds.
     pub target_latency_ms: u64,
     /// Priority, where 0 is the most urgent.
-    pub rank: u32,
+    pub priority: u32,
     /// Number of records in a merged answer.
     pub top_k: usize,
     /// Minimum fraction of the shards that an answer must cover, from 0 to 1.
-    pub least_share: f64,
+    pub min_coverage: f64,
     /// Regions in which its requests may run; empty for no restriction.
     pub home_regions: Arc<[Arc<str>]>,
 }
@@ -55,10 +55,10 @@
 impl Route {
     /// Returns the minimum number of `total` shards that an answer must cover.
     #[must_use]
-    pub fn least_shards(&self, total: usize) -> usize {
+    pub fn min_shards(&self, total: usize) -> usize {
         // A rounding error must not raise 0.9 x 10 = 9.000001 to 10.
         const ROUNDING_ERROR_SHARDS: f64 = 1e-9;
-        let exact = self.least_share * f64::from(u32::try_from(total).unwrap_or(u32::MAX));
+        let exact = self.min_coverage * f64::from(u32::try_from(total).unwrap_or(u32::MAX));
         let mut count = 1;
         while f64::from(u32::try_from(count).unwrap_or(u32::MAX)) + ROUNDING_ERROR_SHARDS < exact {
             count += 1;
@@ -159,19 +159,20 @@
 /// and pays the sum of the weights. After any number of requests, each service is within one
 /// request of its share. Random selection would need thousands of requests to come as close.
 #[derive(Debug, Clone, Default)]
-pub struct Dealer {
+pub struct WeightedRoundRobin {
     credits: HashMap<Arc<str>, f64>,
 }
 
-impl Dealer {
+impl WeightedRoundRobin {
     /// Returns the next service of `split`.
-    pub fn next(&mut self, split: &[Weighted]) -> Option<Arc<str>> {
+    pub fn next_service(&mut self, split: &[WeightedService]) -> Option<Arc<str>> {
         let total: f64 = split.iter().map(|w| w.weight).sum();
         self.credits.retain(|service, _| split.iter().any(|w| w.service == *service));
         for weighted in split {
             *self.credits.entry(Arc::clone(&weighted.service)).or_default() += weighted.weight;
         }
-        let credit = |w: &&Weighted| self.credits.get(&w.service).copied().unwrap_or_default();
+        let credit =
+            |w: &&WeightedService| self.credits.get(&w.service).copied().unwrap_or_default();
         let eligible = split.iter().filter(|w| w.weight > 0.0);
         let chosen = eligible.max_by(|a, b| credit(a).total_cmp(&credit(b)))?;
         let chosen = Arc::clone(&chosen.service);
--- a/crates/decide/src/snapshot.rs
+++ b/crates/decide/src/snapshot.rs
@@ -10,7 +10,7 @@
 
 /// Version that a replica holds, with the partition map it belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Held {
+pub struct HeldVersion {
     /// Index version.
     pub version: IndexVersion,
     /// Number of shards of the index in that version.
@@ -38,13 +38,13 @@
 
 /// Versions held by the usable replicas of one service, per shard.
 #[derive(Debug, Clone, Default)]
-pub struct Catalogue {
-    shards_by_held: BTreeMap<Held, Vec<ShardId>>,
+pub struct SnapshotCatalog {
+    shards_by_held: BTreeMap<HeldVersion, Vec<ShardId>>,
 }
 
-impl Catalogue {
+impl SnapshotCatalog {
     /// Records that a usable replica of `shard` holds `held`.
-    pub fn add(&mut self, shard: ShardId, held: &[Held]) {
+    pub fn add(&mut self, shard: ShardId, held: &[HeldVersion]) {
         for &held_version in held {
             let shards = self.shards_by_held.entry(held_version).or_default();
             if shard < held_version.shard_count && !shards.contains(&shard) {
@@ -75,14 +75,14 @@
     /// hold. The answer then names the missing shards. Among equally complete snapshots, the newest
     /// is used.
     #[must_use]
-    pub fn choose(&self, dependencies: &[&Self]) -> Option<Snapshot> {
+    pub fn select(&self, dependencies: &[&Self]) -> Option<Snapshot> {
         let holds = |s: &Snapshot| dependencies.iter().all(|d| d.is_complete_at(s.version));
         self.snapshots().find(|s| s.is_complete() && holds(s)).or_else(|| self.most_complete())
     }
 
     /// Returns the snapshot at `version`, if any shard holds it.
     #[must_use]
-    pub fn at(&self, version: IndexVersion) -> Option<Snapshot> {
+    pub fn snapshot_at(&self, version: IndexVersion) -> Option<Snapshot> {
         self.snapshots().find(|s| s.version == version)
     }
 
--- a/crates/decide/src/text.rs
+++ b/crates/decide/src/text.rs
@@ -11,7 +11,7 @@
 
 use crate::prelude::ShardId;
 use crate::problem::{Lines, first_line};
-pub use crate::problem::{Problem, TextError, TextErrors};
+pub use crate::problem::{ProblemKind, TextError, TextErrors};
 use crate::rendezvous;
 
 /// Maximum size of the text in bytes; the platform stores up to 1 MB.
@@ -126,14 +126,14 @@
 }
 
 impl Reader<'_> {
-    fn fail(&mut self, line: usize, problem: Problem) {
+    fn fail(&mut self, line: usize, problem: ProblemKind) {
         self.errors.push(TextError { line, problem });
     }
 
     fn read(&mut self, text: &str) -> Services {
         let mut services = Services::default();
         if text.len() > MAX_TEXT_BYTES {
-            self.fail(1, Problem::TooLong { size_bytes: text.len() });
+            self.fail(1, ProblemKind::TooLong { size_bytes: text.len() });
             return services;
         }
         let ini = match Ini::load_from_str_noescape(text) {
@@ -142,7 +142,7 @@
                 // The library counts from 0, and reports a line past the end if something is
                 // missing.
                 let line = (error.line + 1).clamp(1, self.lines.lines.len().max(1));
-                self.fail(line, Problem::Syntax(error.msg.to_string()));
+                self.fail(line, ProblemKind::Syntax(error.msg.to_string()));
                 return services;
             }
         };
@@ -150,7 +150,7 @@
             self.read_section(name, properties, &mut services);
         }
         if services.by_name.is_empty() && self.errors.is_empty() {
-            self.fail(1, Problem::NoService);
+            self.fail(1, ProblemKind::NoService);
         }
         self.check_dependencies(&services);
         services
@@ -162,17 +162,17 @@
             let stray_keys: Vec<String> = stray_keys.collect();
             for key in stray_keys {
                 let line = self.lines.key(0, &key, 0);
-                self.fail(line, Problem::OutsideSection(key));
+                self.fail(line, ProblemKind::OutsideSection(key));
             }
             return;
         };
         let nth = usize::from(into.by_name.contains_key(name));
         let line = self.lines.section(name, nth);
         if nth > 0 {
-            return self.fail(line, Problem::DuplicateService(name.to_owned()));
+            return self.fail(line, ProblemKind::DuplicateService(name.to_owned()));
         }
-        if !is_name(name) {
-            return self.fail(line, Problem::BadName(name.to_owned()));
+        if !is_valid_name(name) {
+            return self.fail(line, ProblemKind::BadName(name.to_owned()));
         }
         let section = Section { line, properties };
         let service = self.read_service(name, &section);
@@ -219,7 +219,7 @@
         }
         if service.deadline_ms > service.max_deadline_ms {
             let line = self.lines.key(section.line, "deadline_ms", 0);
-            self.fail(line, Problem::DeadlineAboveMaximum);
+            self.fail(line, ProblemKind::DeadlineAboveMaximum);
         }
         service
     }
@@ -242,9 +242,9 @@
             let nth = seen.entry(key).and_modify(|n| *n += 1).or_insert(0);
             let line = self.lines.key(section.line, key, *nth);
             if *nth > 0 {
-                self.fail(line, Problem::DuplicateKey(key.to_owned()));
+                self.fail(line, ProblemKind::DuplicateKey(key.to_owned()));
             } else if !KNOWN.contains(&key) && !key.starts_with("shard.") {
-                self.fail(line, Problem::UnknownKey(first_line(key).to_owned()));
+                self.fail(line, ProblemKind::UnknownKey(first_line(key).to_owned()));
             }
         }
     }
@@ -270,7 +270,7 @@
     fn bad_value(&mut self, section: &Section<'_>, key: &str, value: &str, expected: &'static str) {
         let line = self.lines.key(section.line, key, 0);
         let (key, value) = (key.to_owned(), value.to_owned());
-        self.fail(line, Problem::BadValue { key, value, expected });
+        self.fail(line, ProblemKind::BadValue { key, value, expected });
     }
 
     fn read_shards(&mut self, name: &str, section: &Section<'_>) -> Vec<Vec<ReplicaSpec>> {
@@ -287,11 +287,11 @@
             }
         }
         if by_number.is_empty() {
-            self.fail(section.line, Problem::NoShard(name.to_owned()));
+            self.fail(section.line, ProblemKind::NoShard(name.to_owned()));
         }
         let last = by_number.keys().last().copied().map_or(0, |n| n + 1);
         for missing in (0..last).filter(|n| !by_number.contains_key(n)) {
-            self.fail(section.line, Problem::MissingShard(missing));
+            self.fail(section.line, ProblemKind::MissingShard(missing));
         }
         by_number.into_values().collect()
     }
@@ -310,7 +310,7 @@
                 Ok(replica) if seen.insert(replica.addr) => replicas.push(replica),
                 Ok(replica) => {
                     let line = self.lines.key(section.line, key, 0);
-                    self.fail(line, Problem::DuplicateReplica(replica.addr));
+                    self.fail(line, ProblemKind::DuplicateReplica(replica.addr));
                 }
                 Err(()) => self.bad_value(section, key, &entry, EXPECTED),
             }
@@ -326,7 +326,7 @@
         for entry in read_list(section.properties.get("teams")) {
             let (name, weight) = entry.split_once(':').unwrap_or((&entry, "1"));
             match weight.trim().parse::<u32>() {
-                Ok(weight @ 1..=1000) if is_name(name.trim()) => {
+                Ok(weight @ 1..=1000) if is_valid_name(name.trim()) => {
                     teams.insert(name.trim().to_owned(), weight);
                 }
                 _ => self.bad_value(section, "teams", &entry, "a list of team:weight"),
@@ -341,11 +341,11 @@
             let line = self.lines.key(section, "depends_on", 0);
             for dependency in &service.depends_on {
                 if !services.by_name.contains_key(dependency) {
-                    self.fail(line, Problem::UnknownDependency(dependency.clone()));
+                    self.fail(line, ProblemKind::UnknownDependency(dependency.clone()));
                 }
             }
             if let Some(path) = cycle_from(services, name) {
-                self.fail(line, Problem::Cycle(path));
+                self.fail(line, ProblemKind::Cycle(path));
             }
         }
     }
@@ -376,7 +376,7 @@
         let (zone, addr) = entry.split_once('@').ok_or(())?;
         let addr: SocketAddr = addr.trim().parse().map_err(|_| ())?;
         let zone = zone.trim();
-        if !is_name(zone) {
+        if !is_valid_name(zone) {
             return Err(());
         }
         Ok(Self { id: rendezvous::hash(&addr.to_string()), addr, zone: zone.to_owned() })
@@ -385,7 +385,7 @@
 
 /// Returns true if `name` consists of up to 64 lower-case letters, digits and hyphens.
 #[must_use]
-pub fn is_name(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     const MAX_NAME_BYTES: usize = 64;
     let allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-';
     !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(allowed)
--- a/crates/decide/src/transit.rs
+++ b/crates/decide/src/transit.rs
@@ -14,17 +14,17 @@
 
 /// Delay baseline of one connection.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Transit {
+pub struct DelayEstimator {
     /// Least difference of receive and send time in milliseconds, and when it was measured.
     baseline: Option<(i64, u64)>,
 }
 
-impl Transit {
+impl DelayEstimator {
     /// Returns the delay of a request beyond the normal one, in milliseconds.
     ///
     /// `sent_ms` is the time at which it was sent by the sender's clock, `now_ms` the time at which
     /// it was read by the local clock.
-    pub fn late_ms(&mut self, sent_ms: u64, now_ms: u64) -> u64 {
+    pub fn excess_delay_ms(&mut self, sent_ms: u64, now_ms: u64) -> u64 {
         let difference = signed(now_ms) - signed(sent_ms);
         let expected = self.baseline.map_or(difference, |(baseline, since_ms)| {
             baseline + signed(now_ms.saturating_sub(since_ms) / DRIFT_INTERVAL_MS)
--- a/crates/decide/src/verdict.rs
+++ b/crates/decide/src/verdict.rs
@@ -40,7 +40,7 @@
         wanted: u32,
     },
     /// the deadline is too near to finish
-    TooLate,
+    DeadlineTooClose,
     /// the platform did not confirm the claim of the idempotency key
     ClaimUnavailable,
     /// the idempotency key was claimed before
@@ -52,7 +52,7 @@
     /// no backend server took the request
     NoReplica,
     /// backend servers ended while they ran this request
-    EndsReplicas,
+    CrashesReplicas,
     /// the backend server refused: {0}
     BackendRefused(String),
     /// the instance is stopping
--- a/crates/decide/src/watchers.rs
+++ b/crates/decide/src/watchers.rs
@@ -20,7 +20,7 @@
 /// in three instances, none of this many is served in one of 300,000 outages.
 const MAX_SUBSTITUTES: usize = 9;
 /// Number of instances that retry during an outage to detect its end.
-pub const FINDERS: u64 = (WATCHER_COUNT + MAX_SUBSTITUTES) as u64;
+pub const MAX_OUTAGE_PROBERS: u64 = (WATCHER_COUNT + MAX_SUBSTITUTES) as u64;
 /// Key under which instances are ranked.
 const RANKING_KEY: &str = "store-watchers";
 
@@ -42,12 +42,12 @@
 #[must_use]
 pub fn is_watcher(own: Candidate, others: &[Candidate]) -> bool {
     let reached = others.iter().filter(|c| c.is_store_reached);
-    is_in_top(own, reached, WATCHER_COUNT) && is_finder(own, others)
+    is_in_top(own, reached, WATCHER_COUNT) && is_outage_prober(own, others)
 }
 
 /// Returns true if the instance `own` is one of those that detect the end of an outage.
 #[must_use]
-pub fn is_finder(own: Candidate, others: &[Candidate]) -> bool {
+pub fn is_outage_prober(own: Candidate, others: &[Candidate]) -> bool {
     is_in_top(own, others.iter(), WATCHER_COUNT + MAX_SUBSTITUTES)
 }
 
--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold.rs
@@ -3,18 +3,28 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use eelgrasspier_decide::cold::{ColdBounds, Settled, Windows, is_in_touch, share};
+use eelgrasspier_decide::cold::{
+    ColdTolerance, CoordinatorStability, SlidingWindows, coordinator_limit, is_connected,
+};
 
-const BOUNDS: ColdBounds = ColdBounds { over_milli: 1_500, slack: 5 };
+const BOUNDS: ColdTolerance = ColdTolerance { rate_factor_milli: 1_500, slack: 5 };
 
 #[test]
 fn a_keeper_permits_the_rate_but_at_most_half_of_the_limit() {
-    assert_eq!(share(4_000, BOUNDS), Some(4));
+    assert_eq!(coordinator_limit(4_000, BOUNDS), Some(4));
     // 20 x 1.5 + 5 = 35 for two keepers.
-    assert_eq!(share(20_000, BOUNDS), Some(17));
-    assert_eq!(share(500, BOUNDS), Some(1), "one in two seconds rounds up to one in a second");
-    assert_eq!(share(500, ColdBounds::default()), Some(0), "any request would exceed the limit");
-    assert_eq!(share(0, BOUNDS), None, "rate 0 means no limit");
+    assert_eq!(coordinator_limit(20_000, BOUNDS), Some(17));
+    assert_eq!(
+        coordinator_limit(500, BOUNDS),
+        Some(1),
+        "one in two seconds rounds up to one in a second"
+    );
+    assert_eq!(
+        coordinator_limit(500, ColdTolerance::default()),
+        Some(0),
+        "any request would exceed the limit"
+    );
+    assert_eq!(coordinator_limit(0, BOUNDS), None, "rate 0 means no limit");
 }
 
 /// Guards against counting in fixed instead of sliding seconds, where requests at the end of one
@@ -22,16 +32,16 @@
 #[test]
 fn no_sliding_second_has_more_than_the_share() {
     arbtest::arbtest(|u| {
-        let mut windows = Windows::default();
+        let mut windows = SlidingWindows::default();
         let replica: Arc<str> = "r".into();
         let (mut now_ms, mut sent) = (0_u64, Vec::new());
         for _ in 0..200 {
             now_ms += u.int_in_range(0..=120)?;
-            if windows.take(&replica, 4, now_ms) {
+            if windows.try_record(&replica, 4, now_ms) {
                 sent.push(now_ms);
             }
             if u.ratio(1, 20)? {
-                windows.tidy(now_ms);
+                windows.remove_idle(now_ms);
             }
         }
         for &from in &sent {
@@ -51,26 +61,26 @@
 /// three instances within a second.
 #[test]
 fn keepers_wait_after_each_membership_change() {
-    let mut settled = Settled::default();
-    settled.note(keys(&[("a", &[1, 2]), ("b", &[3])]), 0);
-    assert!(!settled.is_settled(Some("a"), 999));
-    assert!(settled.is_settled(Some("a"), 1_000));
-    settled.note(keys(&[("a", &[2, 1]), ("b", &[3])]), 2_000);
-    assert!(settled.is_settled(Some("a"), 2_001), "the same keys in another order");
-    settled.note(keys(&[("a", &[1]), ("b", &[3])]), 3_000);
-    assert!(!settled.is_settled(Some("a"), 3_999));
-    assert!(settled.is_settled(Some("b"), 3_999), "zone b is unchanged");
+    let mut settled = CoordinatorStability::default();
+    settled.update(keys(&[("a", &[1, 2]), ("b", &[3])]), 0);
+    assert!(!settled.is_stable(Some("a"), 999));
+    assert!(settled.is_stable(Some("a"), 1_000));
+    settled.update(keys(&[("a", &[2, 1]), ("b", &[3])]), 2_000);
+    assert!(settled.is_stable(Some("a"), 2_001), "the same keys in another order");
+    settled.update(keys(&[("a", &[1]), ("b", &[3])]), 3_000);
+    assert!(!settled.is_stable(Some("a"), 3_999));
+    assert!(settled.is_stable(Some("b"), 3_999), "zone b is unchanged");
     // All instances of the zone are unreachable, and those of other zones stand in.
-    settled.note(keys(&[("b", &[3])]), 5_000);
-    assert!(!settled.is_settled(None, 5_999));
-    assert!(settled.is_settled(None, 6_000));
+    settled.update(keys(&[("b", &[3])]), 5_000);
+    assert!(!settled.is_stable(None, 5_999));
+    assert!(settled.is_stable(None, 6_000));
 }
 
 /// Guards against a partitioned instance that continues as keeper while another has replaced it.
 #[test]
 fn a_partitioned_instance_permits_nothing() {
-    assert!(is_in_touch(78, Some(10_000), 11_499));
-    assert!(!is_in_touch(78, Some(10_000), 11_500));
-    assert!(!is_in_touch(78, None, 100), "has just started");
-    assert!(is_in_touch(1, None, 1_000_000), "the only instance receives no messages");
+    assert!(is_connected(78, Some(10_000), 11_499));
+    assert!(!is_connected(78, Some(10_000), 11_500));
+    assert!(!is_connected(78, None, 100), "has just started");
+    assert!(is_connected(1, None, 1_000_000), "the only instance receives no messages");
 }
--- a/crates/decide/tests/duties.rs
+++ b/crates/decide/tests/duties.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use eelgrasspier_decide::membership::{Datagram, Member, Membership};
-use eelgrasspier_decide::relays::{self, LEAST_GROUP, Place};
+use eelgrasspier_decide::relays::{self, MIN_GROUP_SHARDS, ReplicaLocation};
 use eelgrasspier_decide::{contacts, gatherers, rendezvous, watchers};
 
 fn fleet(zones: u64, in_zone: u64) -> Vec<watchers::Candidate> {
@@ -41,7 +41,11 @@
         for candidate in &mut fleet {
             candidate.is_store_reached = false;
         }
-        assert_eq!(watchers_of(&fleet).len() as u64, watchers::FINDERS, "of {zones} x {in_zone}");
+        assert_eq!(
+            watchers_of(&fleet).len() as u64,
+            watchers::MAX_OUTAGE_PROBERS,
+            "of {zones} x {in_zone}"
+        );
     }
 }
 
@@ -90,10 +94,10 @@
 
 #[test]
 fn contact_entry_is_rewritten_only_after_a_large_size_change() {
-    assert!(!contacts::is_outdated(195, 180));
-    assert!(!contacts::is_outdated(8, 9));
-    assert!(contacts::is_outdated(60, 195));
-    assert!(contacts::is_outdated(195, 100));
+    assert!(!contacts::must_rewrite(195, 180));
+    assert!(!contacts::must_rewrite(8, 9));
+    assert!(contacts::must_rewrite(60, 195));
+    assert!(contacts::must_rewrite(195, 100));
 }
 
 /// Guards against a selection that ignores which instances the store serves. When the store refused
@@ -152,17 +156,17 @@
 
 #[test]
 fn all_instances_gather_in_a_small_zone_and_a_fifth_in_a_large_one() {
-    assert_eq!(gatherers::choose("z", &zone(4, 250)).len(), 4);
-    assert_eq!(gatherers::choose("z", &zone(19, 250)).len(), 4);
-    assert_eq!(gatherers::choose("z", &zone(75, 250)).len(), 15);
+    assert_eq!(gatherers::select_gatherers("z", &zone(4, 250)).len(), 4);
+    assert_eq!(gatherers::select_gatherers("z", &zone(19, 250)).len(), 4);
+    assert_eq!(gatherers::select_gatherers("z", &zone(75, 250)).len(), 15);
 }
 
 #[test]
 fn leaving_gatherer_does_not_move_others() {
     let all = zone(40, 250);
-    let before = gatherers::choose("z", &all);
+    let before = gatherers::select_gatherers("z", &all);
     let left: Vec<_> = all.into_iter().filter(|c| c.key != before[0]).collect();
-    let after = gatherers::choose("z", &left);
+    let after = gatherers::select_gatherers("z", &left);
     let kept = before[1..].iter().filter(|k| after.contains(k)).count();
     assert_eq!(kept, before.len() - 1);
 }
@@ -178,11 +182,11 @@
         for large in &mut all[..2] {
             large.capacity_milli = 500;
         }
-        let mut chosen = gatherers::choose(&format!("z{number}"), &all);
+        let mut chosen = gatherers::select_gatherers(&format!("z{number}"), &all);
         chosen.sort_unstable();
         assert_eq!(chosen, [1, 2]);
         // If one of them is lost, the other gathers together with a small one.
-        let left = gatherers::choose(&format!("z{number}"), &all[1..]);
+        let left = gatherers::select_gatherers(&format!("z{number}"), &all[1..]);
         assert_eq!((left.len(), left[0]), (2, 2));
     }
 }
@@ -204,10 +208,10 @@
         (2, vec!["b"]),
         (3, vec!["c", "a"]),
     ]);
-    let groups = relays::group(zones.clone(), "own", LEAST_GROUP, 0);
+    let groups = relays::group_by_zone(zones.clone(), "own", MIN_GROUP_SHARDS, 0);
     assert_eq!(groups.len(), 1);
     assert_eq!((groups[0].zone, groups[0].shards.clone()), ("b", vec![0, 1, 2]));
-    assert_eq!(relays::group(zones, "own", 1, 0).len(), 2);
+    assert_eq!(relays::group_by_zone(zones, "own", 1, 0).len(), 2);
 }
 
 /// Guards against answers that mostly cross zones. Each shard has replicas in three of four zones;
@@ -221,7 +225,7 @@
         (2, vec!["b", "own"]),
         (3, vec!["b", "c"]),
     ]);
-    let groups = relays::group(zones, "own", 1, 0);
+    let groups = relays::group_by_zone(zones, "own", 1, 0);
     let asked: Vec<_> = groups.iter().map(|g| (g.zone, g.shards.clone())).collect();
     assert_eq!(asked, [("own", vec![1, 2]), ("b", vec![0, 3])]);
 }
@@ -231,8 +235,9 @@
 /// The selecting instance did not know the slow replicas that the sending one knew.
 #[test]
 fn slow_replicas_are_selected_last() {
-    let place = |id, zone, is_slow| Place { id, zone, is_slow };
-    let selected = |places: &[Place<'_>], request| relays::allowed(places, "b", 2, request);
+    let place = |id, zone, is_slow| ReplicaLocation { id, zone, is_slow };
+    let selected =
+        |places: &[ReplicaLocation<'_>], request| relays::select_replicas(places, "b", 2, request);
     for request in 0..100 {
         let same_zone_slow =
             [place("r1", "a", false), place("r2", "b", true), place("r3", "c", false)];
@@ -242,7 +247,7 @@
         let other_zone_slow =
             [place("r1", "a", true), place("r2", "b", false), place("r3", "c", false)];
         assert_eq!(selected(&other_zone_slow, request), [1, 2]);
-        let all_slow = same_zone_slow.map(|p| Place { is_slow: true, ..p });
+        let all_slow = same_zone_slow.map(|p| ReplicaLocation { is_slow: true, ..p });
         assert_eq!(selected(&all_slow, request)[0], 1);
     }
 }
@@ -251,7 +256,7 @@
 /// instance hedged to one replica and the asking instance to another, each with its own selection.
 #[test]
 fn both_sides_select_the_same_replicas() {
-    let places = [("r1", "a"), ("r2", "b"), ("r3", "c")].map(|(id, zone)| Place {
+    let places = [("r1", "a"), ("r2", "b"), ("r3", "c")].map(|(id, zone)| ReplicaLocation {
         id,
         zone,
         is_slow: false,
@@ -260,8 +265,8 @@
     reversed.reverse();
     let mut second_choices = BTreeMap::new();
     for request in 0..300 {
-        let ids = |places: &[Place<'_>]| -> Vec<String> {
-            let allowed = relays::allowed(places, "b", 2, request);
+        let ids = |places: &[ReplicaLocation<'_>]| -> Vec<String> {
+            let allowed = relays::select_replicas(places, "b", 2, request);
             allowed.into_iter().map(|i| places[i].id.to_owned()).collect()
         };
         let selected = ids(&places);
--- a/crates/decide/tests/evacuations.rs
+++ b/crates/decide/tests/evacuations.rs
@@ -7,7 +7,7 @@
 }
 
 fn taken_back(zone: &str) -> ZoneChange {
-    ZoneChange::TakenBack(zone.into())
+    ZoneChange::Returned(zone.into())
 }
 
 #[test]
@@ -18,7 +18,7 @@
     assert!(!zones.apply(evacuated("b"), 20), "already evacuated");
     assert!(zones.apply(taken_back("a"), 30));
     assert_eq!((zones.is_evacuated("a"), zones.is_evacuated("b")), (false, true));
-    assert_eq!(zones.evacuated().count(), 1);
+    assert_eq!(zones.evacuated_zones().count(), 1);
 }
 
 /// Guards against treating the replicas of a zone as warm just after it is taken back. They had
--- a/crates/decide/tests/holders.rs
+++ b/crates/decide/tests/holders.rs
@@ -1,21 +1,22 @@
 //! Choice of the instance asked for a part of a shard in the slices of other instances.
 
-use eelgrasspier_decide::holders::{Holder, pick};
+use eelgrasspier_decide::holders::{SlicePeer, pick_peer};
 
-const STARTING: Holder = Holder { key: 1, is_ready: false };
-const READY: [Holder; 2] = [Holder { key: 2, is_ready: true }, Holder { key: 3, is_ready: true }];
+const STARTING: SlicePeer = SlicePeer { key: 1, is_ready: false };
+const READY: [SlicePeer; 2] =
+    [SlicePeer { key: 2, is_ready: true }, SlicePeer { key: 3, is_ready: true }];
 
 /// Guards against a missed shard while the announcement that its holders are ready is delayed.
 #[test]
 fn a_starting_holder_is_asked_if_none_is_ready() {
-    assert_eq!(pick(&[STARTING], 7), Some(STARTING.key));
-    assert_eq!(pick(&[], 7), None);
+    assert_eq!(pick_peer(&[STARTING], 7), Some(STARTING.key));
+    assert_eq!(pick_peer(&[], 7), None);
 }
 
 #[test]
 fn requests_are_spread_over_ready_holders() {
     let all = [STARTING, READY[0], READY[1]];
-    let asked = |random| pick(&all, random);
+    let asked = |random| pick_peer(&all, random);
     let counts = READY.map(|holder| (0..1000).filter(|&r| asked(r) == Some(holder.key)).count());
     assert_eq!(counts[0] + counts[1], 1000);
     assert!(counts.iter().all(|count| *count > 400), "{counts:?}");
--- a/crates/decide/tests/homes.rs
+++ b/crates/decide/tests/homes.rs
@@ -9,10 +9,10 @@
     let pairs = [("north", "coast"), ("south", "island")].map(|(z, r)| (z.into(), r.into()));
     let regions: Regions = pairs.into_iter().collect();
     let homes = |names: &[&str]| names.iter().map(|n| Arc::from(*n)).collect::<Vec<Arc<str>>>();
-    assert!(regions.is_home(&homes(&[]), "south"));
-    assert!(regions.is_home(&homes(&["coast"]), "north"));
-    assert!(!regions.is_home(&homes(&["coast"]), "south"));
-    assert!(regions.is_home(&homes(&["coast", "island"]), "south"));
-    assert!(!regions.is_home(&homes(&["coast"]), "new"), "the region is unknown");
-    assert!(regions.is_home(&homes(&[]), "new"));
+    assert!(regions.is_home_zone(&homes(&[]), "south"));
+    assert!(regions.is_home_zone(&homes(&["coast"]), "north"));
+    assert!(!regions.is_home_zone(&homes(&["coast"]), "south"));
+    assert!(regions.is_home_zone(&homes(&["coast", "island"]), "south"));
+    assert!(!regions.is_home_zone(&homes(&["coast"]), "new"), "the region is unknown");
+    assert!(regions.is_home_zone(&homes(&[]), "new"));
 }
--- a/crates/decide/tests/invariants.rs
+++ b/crates/decide/tests/invariants.rs
@@ -5,11 +5,11 @@
 use arbtest::arbtest;
 use eelgrasspier_decide::budget::TokenBucket;
 use eelgrasspier_decide::claim::{Bucket, BucketChange, ClaimResult, Key};
-use eelgrasspier_decide::hedge::Quantile;
+use eelgrasspier_decide::hedge::LatencyQuantile;
 use eelgrasspier_decide::prelude::Services;
-use eelgrasspier_decide::replica::{Candidate, Choice, pick};
+use eelgrasspier_decide::replica::{Candidate, SelectionPolicy, select_replica};
 use eelgrasspier_decide::share;
-use eelgrasspier_decide::snapshot::{Catalogue, Held};
+use eelgrasspier_decide::snapshot::{HeldVersion, SnapshotCatalog};
 
 /// For any members and limit, the shares of one replica never exceed the limit, and if there are
 /// enough connections every member gets one.
@@ -77,20 +77,23 @@
 #[test]
 fn the_newest_complete_snapshot_is_selected() {
     arbtest(|u| {
-        let mut catalogue = Catalogue::default();
+        let mut catalogue = SnapshotCatalog::default();
         let mut reports = Vec::new();
         for _ in 0..u.int_in_range(0..=12)? {
             let shard = u.int_in_range(0..=3)?;
-            let held =
-                Held { version: u.int_in_range(1..=3)?, shard_count: u.int_in_range(1..=4)? };
+            let held = HeldVersion {
+                version: u.int_in_range(1..=3)?,
+                shard_count: u.int_in_range(1..=4)?,
+            };
             catalogue.add(shard, &[held]);
             reports.push((shard, held));
         }
-        let is_complete =
-            |held: &Held| (0..held.shard_count).all(|shard| reports.contains(&(shard, *held)));
+        let is_complete = |held: &HeldVersion| {
+            (0..held.shard_count).all(|shard| reports.contains(&(shard, *held)))
+        };
         let complete: Vec<u64> =
             reports.iter().filter(|(_, h)| is_complete(h)).map(|(_, h)| h.version).collect();
-        let chosen = catalogue.choose(&[]);
+        let chosen = catalogue.select(&[]);
         match complete.iter().max() {
             Some(&newest) => {
                 let chosen = chosen.expect("a complete snapshot exists");
@@ -107,7 +110,7 @@
 #[test]
 fn quantiles_are_close_from_above() {
     arbtest(|u| {
-        let mut quantile = Quantile::default();
+        let mut quantile = LatencyQuantile::default();
         let mut values: Vec<u64> = Vec::new();
         for _ in 0..200 {
             let value = u64::from(u.int_in_range(1..=1_000_000_u32)?);
@@ -130,9 +133,9 @@
         let mut candidates = Vec::new();
         for index in 0..count {
             let cost_us = u64::from(u.arbitrary::<u32>()?);
-            candidates.push(Candidate { index, cost_us, is_near: true });
+            candidates.push(Candidate { index, cost_us, is_same_zone: true });
         }
-        let picked = pick(&candidates, Choice::LeastCost, u.arbitrary()?);
+        let picked = select_replica(&candidates, SelectionPolicy::LeastCost, u.arbitrary()?);
         assert_eq!(picked.is_none(), candidates.is_empty());
         let cheapest = candidates.iter().map(|c| c.cost_us).min();
         assert_eq!(picked.map(|i| candidates[i].cost_us), cheapest);
--- a/crates/decide/tests/merging.rs
+++ b/crates/decide/tests/merging.rs
@@ -1,7 +1,7 @@
 //! Merging of parts, and the decision to stop waiting for parts.
 
 use arbtest::arbtest;
-use eelgrasspier_decide::merge::{Greatest, RECORD_BYTES};
+use eelgrasspier_decide::merge::{RECORD_BYTES, TopRecords};
 use eelgrasspier_decide::patience::{GatherState, WaitDecision, delivery_margin_ms};
 
 /// Reference implementation that sorts all records.
@@ -12,7 +12,7 @@
     records.concat()
 }
 
-fn add_parts(greatest: &mut Greatest, parts: &[Vec<u8>]) {
+fn add_parts(greatest: &mut TopRecords, parts: &[Vec<u8>]) {
     for part in parts {
         greatest.add(part);
     }
@@ -24,14 +24,14 @@
         let parts: Vec<Vec<u8>> = u.arbitrary()?;
         let max_records = u.int_in_range(0..=8)?;
         let expected = merge_by_sorting(&parts, max_records);
-        let mut whole = Greatest::new(max_records);
+        let mut whole = TopRecords::new(max_records);
         add_parts(&mut whole, &parts);
         assert_eq!(whole.into_bytes(), expected);
         // A relaying instance has merged the first half of the parts.
         let (first_half, second_half) = parts.split_at(parts.len() / 2);
-        let mut relayed = Greatest::new(max_records);
+        let mut relayed = TopRecords::new(max_records);
         add_parts(&mut relayed, first_half);
-        let mut joined = Greatest::new(max_records);
+        let mut joined = TopRecords::new(max_records);
         joined.add(&relayed.into_bytes());
         add_parts(&mut joined, second_half);
         assert_eq!(joined.into_bytes(), expected);
@@ -41,7 +41,7 @@
 
 #[test]
 fn duplicate_records_are_kept() {
-    let mut greatest = Greatest::new(3);
+    let mut greatest = TopRecords::new(3);
     greatest.add(&[9; 4 * RECORD_BYTES]);
     assert_eq!(greatest.into_bytes(), vec![9; 3 * RECORD_BYTES]);
 }
--- a/crates/decide/tests/routes.rs
+++ b/crates/decide/tests/routes.rs
@@ -3,7 +3,9 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use eelgrasspier_decide::route::{Configuration, Dealer, Route, RouteTable, Target, Weighted};
+use eelgrasspier_decide::route::{
+    Configuration, Route, RouteTable, Target, WeightedRoundRobin, WeightedService,
+};
 
 fn route(name: &str, host: &str, path_prefix: &str) -> Arc<Route> {
     Arc::new(Route {
@@ -15,9 +17,9 @@
         attempts: 2,
         timeout_ms: 400,
         target_latency_ms: 80,
-        rank: 1,
+        priority: 1,
         top_k: 5,
-        least_share: 0.89,
+        min_coverage: 0.89,
         home_regions: [].into(),
     })
 }
@@ -47,11 +49,11 @@
 #[test]
 fn a_split_stays_within_one_request_of_its_weights() {
     let split = [("a", 5.0), ("b", 3.0), ("c", 2.0), ("none", 0.0)]
-        .map(|(service, weight)| Weighted { service: service.into(), weight });
-    let mut dealer = Dealer::default();
+        .map(|(service, weight)| WeightedService { service: service.into(), weight });
+    let mut dealer = WeightedRoundRobin::default();
     let mut counts: HashMap<String, f64> = HashMap::new();
     for turn in 1..=1000 {
-        let service = dealer.next(&split).unwrap();
+        let service = dealer.next_service(&split).unwrap();
         *counts.entry(service.to_string()).or_default() += 1.0;
         for part in &split[..3] {
             let expected = f64::from(turn) * part.weight / 10.0;
@@ -64,11 +66,12 @@
 
 #[test]
 fn minimum_coverage_is_rounded_up_without_rounding_errors() {
-    let with_least_share = |least_share| Route { least_share, ..(*route("r", "h", "/")).clone() };
-    assert_eq!(with_least_share(0.89).least_shards(20), 18);
-    assert_eq!(with_least_share(0.75).least_shards(20), 15);
-    assert_eq!(with_least_share(0.95).least_shards(90), 86);
-    assert_eq!(with_least_share(0.9).least_shards(10), 9);
-    assert_eq!(with_least_share(0.0).least_shards(10), 1);
-    assert_eq!(with_least_share(1.0).least_shards(30), 30);
+    let with_least_share =
+        |least_share| Route { min_coverage: least_share, ..(*route("r", "h", "/")).clone() };
+    assert_eq!(with_least_share(0.89).min_shards(20), 18);
+    assert_eq!(with_least_share(0.75).min_shards(20), 15);
+    assert_eq!(with_least_share(0.95).min_shards(90), 86);
+    assert_eq!(with_least_share(0.9).min_shards(10), 9);
+    assert_eq!(with_least_share(0.0).min_shards(10), 1);
+    assert_eq!(with_least_share(1.0).min_shards(30), 30);
 }
--- a/crates/decide/tests/telling.rs
+++ b/crates/decide/tests/telling.rs
@@ -5,7 +5,7 @@
 
 use eelgrasspier_decide::fingerprint::Fingerprint;
 use eelgrasspier_decide::losses::CrashedSend;
-use eelgrasspier_decide::membership::{Member, Membership, OutgoingDatagram, State};
+use eelgrasspier_decide::membership::{InstanceState, Member, Membership, OutgoingDatagram};
 use eelgrasspier_decide::quarantine::{Quarantine, Report};
 
 const CRASHING: Fingerprint = Fingerprint(1);
@@ -50,7 +50,7 @@
             name: format!("instance-{number}"),
             incarnation: 1,
             revision: 1,
-            state: State::Ready as i32,
+            state: InstanceState::Ready as i32,
             zone: format!("zone-{}", number % 3),
             peer_addr: addr(number).to_string(),
             ..Member::default()
--- a/crates/eelgrasspier/src/control/claims.rs
+++ b/crates/eelgrasspier/src/control/claims.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use eelgrasspier_decide::claim::{ClaimResult, Key, Nonce};
-use eelgrasspier_decide::membership::State;
+use eelgrasspier_decide::membership::InstanceState;
 use eelgrasspier_decide::rendezvous;
 use eelgrasspier_peer::wire::{Body, Claim, ClaimOutcome, Claimed};
 use eelgrasspier_store::ClaimError;
@@ -49,7 +49,7 @@
     fn bucket_owner(&self, bucket: usize) -> Option<SocketAddr> {
         let membership = self.membership.borrow();
         let ready_members: Vec<_> =
-            membership.live_peers().filter(|m| m.state() == State::Ready).collect();
+            membership.live_peers().filter(|m| m.state() == InstanceState::Ready).collect();
         let mut keys: Vec<u64> = ready_members.iter().map(|m| m.key()).collect();
         keys.push(membership.own().key());
         let owner = rendezvous::owner(rendezvous::hash(OWNER_HASH_NAME) ^ bucket as u64, &keys)?;
--- a/crates/eelgrasspier/src/control/members.rs
+++ b/crates/eelgrasspier/src/control/members.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use eelgrasspier_decide::leaving::Server;
+use eelgrasspier_decide::leaving::ServerIncarnation;
 use eelgrasspier_decide::membership::{
-    Datagram, LeavingServer, ListedInstance, MembershipChange, OutgoingDatagram, State,
+    Datagram, InstanceState, LeavingServer, ListedInstance, MembershipChange, OutgoingDatagram,
 };
 use eelgrasspier_decide::share::Agreement;
 use futures_util::{Stream, StreamExt};
@@ -52,7 +52,7 @@
             let sends = self.membership.borrow_mut().tick(now_ms, rand::random());
             self.send(sends);
             self.contact_seeds();
-            self.leaving.borrow_mut().expire(now_ms);
+            self.leaving.borrow_mut().remove_expired(now_ms);
             self.refresh();
             tokio::time::sleep(TICK_INTERVAL).await;
         }
@@ -131,7 +131,7 @@
                 address_hash: replica,
                 incarnation,
             }) => {
-                self.on_server_leaving(Server { replica, incarnation });
+                self.on_server_leaving(ServerIncarnation { address_hash: replica, incarnation });
             }
         }
     }
@@ -173,16 +173,16 @@
     /// the earlier one. During an outage of the platform, a peer that is ready knows the others.
     fn can_agree(&self) -> bool {
         let membership = self.membership.borrow();
-        self.is_listed.get() || membership.live_peers().any(|m| m.state() == State::Ready)
+        self.is_listed.get() || membership.live_peers().any(|m| m.state() == InstanceState::Ready)
     }
 
     /// Records that a backend server is leaving and announces it to the other instances.
-    pub(super) fn on_server_leaving(&self, server: Server) {
-        let is_new = self.leaving.borrow_mut().note(server, self.shared.now_ms());
+    pub(super) fn on_server_leaving(&self, server: ServerIncarnation) {
+        let is_new = self.leaving.borrow_mut().record(server, self.shared.now_ms());
         if !is_new {
             return;
         }
-        let Server { replica, incarnation } = server;
+        let ServerIncarnation { address_hash: replica, incarnation } = server;
         let announcement = LeavingServer { address_hash: replica, incarnation };
         self.membership.borrow_mut().announce_server_leaving(announcement);
         self.record(event::SERVER_LEAVING, &self.server_name(replica), "");
--- a/crates/eelgrasspier/src/control/mod.rs
+++ b/crates/eelgrasspier/src/control/mod.rs
@@ -13,8 +13,8 @@
 use std::time::{Duration, Instant};
 
 use eelgrasspier_decide::config::ConfigInForce;
-use eelgrasspier_decide::leaving::Leaving;
-use eelgrasspier_decide::membership::{Member, Membership, OutgoingDatagram, State};
+use eelgrasspier_decide::leaving::DrainingServers;
+use eelgrasspier_decide::membership::{InstanceState, Member, Membership, OutgoingDatagram};
 use eelgrasspier_decide::prelude::Services;
 use eelgrasspier_decide::quarantine::Report;
 use eelgrasspier_decide::share::Agreement;
@@ -44,9 +44,9 @@
     services: RefCell<Arc<Services>>,
     /// Stored text object in force, sent to other instances on request.
     stored: RefCell<Option<bytes::Bytes>>,
-    leaving: RefCell<Leaving>,
+    leaving: RefCell<DrainingServers>,
     outbox: mpsc::UnboundedSender<OutgoingDatagram>,
-    state: Cell<State>,
+    state: Cell<InstanceState>,
     serial: Cell<u64>,
     last_activity: Cell<Instant>,
     is_fetching: Cell<bool>,
@@ -100,7 +100,7 @@
             stored: RefCell::default(),
             leaving: RefCell::default(),
             outbox,
-            state: Cell::new(State::Starting),
+            state: Cell::new(InstanceState::Starting),
             serial: Cell::new(0),
             last_activity: Cell::new(Instant::now()),
             is_fetching: Cell::new(false),
@@ -159,7 +159,7 @@
                     });
                 }
                 ControlRequest::SendReport(report) => self.send_report(report),
-                ControlRequest::BeginStop => self.set_state(State::Leaving),
+                ControlRequest::BeginStop => self.set_state(InstanceState::Leaving),
                 ControlRequest::AnnounceLeft { reply } => self.announce_left(reply),
             }
         }
@@ -175,7 +175,7 @@
         }
     }
 
-    fn set_state(&self, state: State) {
+    fn set_state(&self, state: InstanceState) {
         if self.state.replace(state) != state {
             self.membership.borrow_mut().update_own(|m| m.state = state as i32);
             self.publish();
@@ -184,7 +184,7 @@
 
     /// Announces that all connections are closed, so that other instances can use the freed share.
     fn announce_left(&self, reply: oneshot::Sender<()>) {
-        self.set_state(State::Left);
+        self.set_state(InstanceState::Left);
         for send in self.membership.borrow_mut().broadcast_own_record(
             MAX_DIRECT_SENDS,
             MAX_DIRECT_SENDS,
@@ -200,9 +200,9 @@
 
     /// Publishes the current state to the traffic threads.
     fn publish(&self) {
-        if self.state.get() == State::Starting && self.can_serve() {
-            self.state.set(State::Ready);
-            self.membership.borrow_mut().update_own(|m| m.state = State::Ready as i32);
+        if self.state.get() == InstanceState::Starting && self.can_serve() {
+            self.state.set(InstanceState::Ready);
+            self.membership.borrow_mut().update_own(|m| m.state = InstanceState::Ready as i32);
             self.record(event::READY, &self.shared.settings.name, "");
         }
         self.serial.set(self.serial.get() + 1);
@@ -239,10 +239,14 @@
     fn peers(&self) -> Vec<Peer> {
         let membership = self.membership.borrow();
         let peer = |m: &Member| {
-            let is_ready = m.state() == State::Ready;
+            let is_ready = m.state() == InstanceState::Ready;
             Some(Peer { key: m.key(), addr: m.peer_addr.parse().ok()?, is_ready })
         };
-        membership.live_peers().filter(|m| m.state() <= State::Ready).filter_map(peer).collect()
+        membership
+            .live_peers()
+            .filter(|m| m.state() <= InstanceState::Ready)
+            .filter_map(peer)
+            .collect()
     }
 
     fn record(&self, event: crate::event::Event, about: &str, detail: &str) {
--- a/crates/eelgrasspier/src/control/text.rs
+++ b/crates/eelgrasspier/src/control/text.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use eelgrasspier_decide::config::{self, Edit, OfferResult, Submission};
 use eelgrasspier_decide::history::Position;
-use eelgrasspier_decide::membership::{Member, State};
+use eelgrasspier_decide::membership::{InstanceState, Member};
 use eelgrasspier_decide::prelude::Services;
 use eelgrasspier_decide::rendezvous;
 use eelgrasspier_operator::{SubmitAnswer, Submitted, TextResponse};
@@ -206,8 +206,8 @@
     ///
     /// A restored platform may hold an older text than the one in force on the other instances.
     pub(super) fn needs_confirmation_from(&self, member: &Member) -> bool {
-        let is_starting = self.state.get() == State::Starting && !self.is_confirmed.get();
-        is_starting && member.state() == State::Ready && member.config_version > 0
+        let is_starting = self.state.get() == InstanceState::Starting && !self.is_confirmed.get();
+        is_starting && member.state() == InstanceState::Ready && member.config_version > 0
     }
 
     pub(super) fn text_in_force(&self) -> Option<TextResponse> {
--- a/crates/eelgrasspier/src/exchange.rs
+++ b/crates/eelgrasspier/src/exchange.rs
@@ -71,7 +71,7 @@
             metrics::counter!("eelgrasspier_parts_cancelled_total").increment(1);
             let elapsed_us = u64::try_from(state.started.elapsed().as_micros()).unwrap_or(u64::MAX);
             let now_ms = state.started_ms + elapsed_us / 1000;
-            state.permit.replica().load.borrow_mut().outrun(elapsed_us, now_ms);
+            state.permit.replica().load.borrow_mut().record_abandoned(elapsed_us, now_ms);
             actix_rt::spawn(cancel_exchange(state));
         }
     }
--- a/crates/eelgrasspier/src/forward.rs
+++ b/crates/eelgrasspier/src/forward.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use eelgrasspier_decide::holders::{self, Holder};
+use eelgrasspier_decide::holders::{self, SlicePeer};
 use eelgrasspier_decide::prelude::ShardId;
 use eelgrasspier_decide::quarantine::Treatment;
 use eelgrasspier_decide::rendezvous;
@@ -74,9 +74,9 @@
         others.into_iter().any(|r| rendezvous::is_in_top(r.id, key, members, limit as usize))
     };
     let candidates = view.peers.iter().filter(|peer| has_connections_to(peer.key));
-    let candidates: Vec<Holder> =
-        candidates.map(|peer| Holder { key: peer.key, is_ready: peer.is_ready }).collect();
-    let chosen_key = holders::pick(&candidates, rand::random())?;
+    let candidates: Vec<SlicePeer> =
+        candidates.map(|peer| SlicePeer { key: peer.key, is_ready: peer.is_ready }).collect();
+    let chosen_key = holders::pick_peer(&candidates, rand::random())?;
     view.peers.iter().find(|peer| peer.key == chosen_key).map(|peer| peer.addr)
 }
 
--- a/crates/eelgrasspier/src/part.rs
+++ b/crates/eelgrasspier/src/part.rs
@@ -9,7 +9,7 @@
 use eelgrasspier_backend::{Kind, PartFailure, PartRequest};
 use eelgrasspier_decide::prelude::ShardId;
 use eelgrasspier_decide::replica::{self, Candidate};
-use eelgrasspier_decide::snapshot::{Held, Snapshot};
+use eelgrasspier_decide::snapshot::{HeldVersion, Snapshot};
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 
@@ -243,7 +243,7 @@
     /// query until its cut-off. Probes detect a recovered replica shortly after its return.
     fn eligible_replicas(&self) -> impl Iterator<Item = &Rc<Replica>> {
         let Snapshot { version, shard_count, .. } = self.context.snapshot;
-        let held = Held { version, shard_count };
+        let held = HeldVersion { version, shard_count };
         let replicas = self.context.service.shards.get(self.shard as usize);
         replicas.into_iter().flatten().filter(move |r| {
             let is_reachable = r.limit(ConnectionKind::Query) > 0 && !r.is_down();
@@ -267,7 +267,7 @@
             .filter_map(|r| {
                 let index = position(r)?;
                 let cost_us = r.load.borrow().cost_us(slots, now_ms);
-                Some(Candidate { index, cost_us, is_near: r.is_near })
+                Some(Candidate { index, cost_us, is_same_zone: r.is_near })
             })
             .collect()
     }
@@ -276,7 +276,8 @@
     fn start_exchange(&mut self, cause: Cause) -> bool {
         let context = self.context;
         let choice = context.traffic.shared.settings.policy.choice;
-        let Some(index) = replica::pick(&self.candidates(), choice, rand::random()) else {
+        let Some(index) = replica::select_replica(&self.candidates(), choice, rand::random())
+        else {
             return false;
         };
         let Some(replica) = context.service.shards[self.shard as usize].get(index) else {
--- a/crates/eelgrasspier/src/query.rs
+++ b/crates/eelgrasspier/src/query.rs
@@ -60,7 +60,7 @@
         let scope = (&*self.service.name, QUERY_KIND);
         let crash_tracker = CrashTracker::new(&traffic.shared, scope, &self.body, &self.request_id);
         if let Treatment::Refused(left_ms) = crash_tracker.treatment() {
-            return Err(Refusal::not_run(RefusalReason::EndsReplicas, Some(left_ms)));
+            return Err(Refusal::not_run(RefusalReason::CrashesReplicas, Some(left_ms)));
         }
         let budget = Duration::from_millis(call.deadline_ms);
         let margin = MIN_RESPONSE_MARGIN.max(budget / RESPONSE_MARGIN_DIVISOR);
@@ -224,7 +224,7 @@
             gathered.defer(deferred);
             continue;
         };
-        deferred.sort_by_key(|shard| crash_tracker.fingerprint.order(&shard.to_string()));
+        deferred.sort_by_key(|shard| crash_tracker.fingerprint.shard_order_key(&shard.to_string()));
         let trial_shard = deferred.remove(0);
         let outcome = gather(context, &[trial_shard]).await;
         drop(trial);
--- a/crates/eelgrasspier/src/replica.rs
+++ b/crates/eelgrasspier/src/replica.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 
 use eelgrasspier_backend::Report;
-use eelgrasspier_decide::leaving::{Leaving, Server};
-use eelgrasspier_decide::replica::Load;
-use eelgrasspier_decide::snapshot::Held;
+use eelgrasspier_decide::leaving::{DrainingServers, ServerIncarnation};
+use eelgrasspier_decide::replica::ReplicaLoad;
+use eelgrasspier_decide::snapshot::HeldVersion;
 use eelgrasspier_decide::text::ReplicaSpec;
 use tokio::sync::Notify;
 
@@ -27,7 +27,7 @@
 pub(crate) struct Replica {
     pub(crate) spec: ReplicaSpec,
     pub(crate) is_near: bool,
-    pub(crate) load: RefCell<Load>,
+    pub(crate) load: RefCell<ReplicaLoad>,
     limits: [Cell<u32>; 2],
     used: [Cell<u32>; 2],
     report: RefCell<Report>,
@@ -43,7 +43,7 @@
     /// True if its versions or its availability changed.
     pub(crate) is_changed: bool,
     /// Set if the server newly announces that it is leaving.
-    pub(crate) leaving: Option<Server>,
+    pub(crate) leaving: Option<ServerIncarnation>,
     /// True if the replica was down before.
     pub(crate) is_recovered: bool,
 }
@@ -134,7 +134,7 @@
 
     /// Records a failed contact; returns true if the replica is down as of this one.
     pub(crate) fn record_failure(&self, now_ms: u64) -> bool {
-        self.load.borrow_mut().failed(now_ms);
+        self.load.borrow_mut().record_failure(now_ms);
         self.consecutive_failures.set(self.consecutive_failures.get().saturating_add(1));
         self.consecutive_failures.get() == FAILURES_UNTIL_DOWN
     }
@@ -145,13 +145,13 @@
     }
 
     /// Returns true if new work may be sent: the server is not leaving by any report.
-    pub(crate) fn accepts_work(&self, leaving: &Leaving) -> bool {
+    pub(crate) fn accepts_work(&self, leaving: &DrainingServers) -> bool {
         let report = self.report.borrow();
         !report.is_draining && !leaving.contains(self.server(report.incarnation))
     }
 
     /// Returns true if the replica reports this version with this shard count.
-    pub(crate) fn holds(&self, held: Held) -> bool {
+    pub(crate) fn holds(&self, held: HeldVersion) -> bool {
         self.report.borrow().held.contains(&held)
     }
 
@@ -161,12 +161,12 @@
     /// report of a replica arrives slightly later. Other instances already request parts of that
     /// replica by then, and their answers would lack these shards. A replica that lacks the version
     /// refuses the request.
-    pub(crate) fn may_hold(&self, held: Held) -> bool {
+    pub(crate) fn may_hold(&self, held: HeldVersion) -> bool {
         self.last_contact_ms().is_none() || self.holds(held)
     }
 
     /// Returns the versions that the replica reports.
-    pub(crate) fn held(&self) -> Vec<Held> {
+    pub(crate) fn held(&self) -> Vec<HeldVersion> {
         self.report.borrow().held.clone()
     }
 
@@ -175,7 +175,7 @@
         self.last_contact_ms.get()
     }
 
-    fn server(&self, incarnation: u64) -> Server {
-        Server { replica: self.spec.id, incarnation }
+    fn server(&self, incarnation: u64) -> ServerIncarnation {
+        ServerIncarnation { address_hash: self.spec.id, incarnation }
     }
 }
--- a/crates/eelgrasspier/src/run.rs
+++ b/crates/eelgrasspier/src/run.rs
@@ -71,7 +71,7 @@
         let crash_tracker = CrashTracker::new(&traffic.shared, scope, &self.body, &self.request_id);
         let treatment = crash_tracker.treatment();
         if let Treatment::Refused(left_ms) = treatment {
-            return Err(Refusal::not_run(RefusalReason::EndsReplicas, Some(left_ms)));
+            return Err(Refusal::not_run(RefusalReason::CrashesReplicas, Some(left_ms)));
         }
         // A run goes to a single server anyway, so it needs no further isolation.
         let trial =
@@ -114,7 +114,10 @@
         let mut permit = permit;
         loop {
             if Instant::now() >= self.deadline {
-                return Err(Refusal::not_run(RefusalReason::TooLate, Some(REPLICA_RETRY_AFTER_MS)));
+                return Err(Refusal::not_run(
+                    RefusalReason::DeadlineTooClose,
+                    Some(REPLICA_RETRY_AFTER_MS),
+                ));
             }
             let Some(sent) = claim.attempt.use_permission() else {
                 return Err(Refusal::may_have_run(RefusalReason::AlreadyClaimed));
@@ -208,11 +211,11 @@
             .filter(|(_, r)| Some(r.spec.id) != excluded && (!is_any_up || !r.is_down()))
             .map(|(index, r)| {
                 let cost_us = r.load.borrow().cost_us(self.service.spec.slots, now_ms);
-                Candidate { index, cost_us, is_near: r.is_near }
+                Candidate { index, cost_us, is_same_zone: r.is_near }
             })
             .collect();
         let choice = traffic.shared.settings.policy.choice;
-        let index = replica::pick(&candidates, choice, rand::random())?;
+        let index = replica::select_replica(&candidates, choice, rand::random())?;
         replicas.get(index)?.acquire(ConnectionKind::Run)
     }
 
--- a/crates/eelgrasspier/src/service.rs
+++ b/crates/eelgrasspier/src/service.rs
@@ -8,10 +8,10 @@
 
 use eelgrasspier_decide::admission::{Completion, Decision, Gate, LoadSignal, Resolution, Ticket};
 use eelgrasspier_decide::budget::TokenBucket;
-use eelgrasspier_decide::hedge::Quantile;
-use eelgrasspier_decide::leaving::Leaving;
+use eelgrasspier_decide::hedge::LatencyQuantile;
+use eelgrasspier_decide::leaving::DrainingServers;
 use eelgrasspier_decide::prelude::{Refusal, RefusalReason, Service, ShardId};
-use eelgrasspier_decide::snapshot::{Catalogue, Held};
+use eelgrasspier_decide::snapshot::{HeldVersion, SnapshotCatalog};
 use tokio::sync::oneshot;
 
 use crate::replica::{ConnectionKind, Replica};
@@ -29,12 +29,12 @@
     pub(crate) spec: Arc<Service>,
     pub(crate) name: Rc<str>,
     pub(crate) shards: Vec<Vec<Rc<Replica>>>,
-    pub(crate) latency: RefCell<Quantile>,
+    pub(crate) latency: RefCell<LatencyQuantile>,
     pub(crate) hedges: RefCell<TokenBucket>,
     pub(crate) retries: RefCell<TokenBucket>,
     admission: RefCell<Gate>,
     waiters: RefCell<HashMap<Ticket, oneshot::Sender<Result<(), Refusal>>>>,
-    catalogue: RefCell<Rc<Catalogue>>,
+    catalogue: RefCell<Rc<SnapshotCatalog>>,
     catalogue_epoch: Cell<u64>,
 }
 
@@ -76,16 +76,16 @@
     }
 
     /// Returns the versions held by the replicas that accept work; rebuilt when `epoch` changes.
-    pub(crate) fn catalogue(&self, epoch: u64, leaving: &Leaving) -> Rc<Catalogue> {
+    pub(crate) fn catalogue(&self, epoch: u64, leaving: &DrainingServers) -> Rc<SnapshotCatalog> {
         if self.catalogue_epoch.replace(epoch) != epoch {
             *self.catalogue.borrow_mut() = Rc::new(self.build_catalogue(leaving));
         }
         Rc::clone(&self.catalogue.borrow())
     }
 
-    fn build_catalogue(&self, leaving: &Leaving) -> Catalogue {
-        let mut catalogue = Catalogue::default();
-        let mut all: Vec<Held> = Vec::new();
+    fn build_catalogue(&self, leaving: &DrainingServers) -> SnapshotCatalog {
+        let mut catalogue = SnapshotCatalog::default();
+        let mut all: Vec<HeldVersion> = Vec::new();
         for (number, replicas) in self.numbered_shards() {
             for replica in replicas.iter().filter(|r| !r.is_down() && r.accepts_work(leaving)) {
                 let held = replica.held();
--- a/crates/eelgrasspier/src/settings.rs
+++ b/crates/eelgrasspier/src/settings.rs
@@ -5,8 +5,8 @@
 use std::str::FromStr;
 
 use displaydoc::Display;
-use eelgrasspier_decide::replica::Choice;
-use eelgrasspier_decide::text::is_name;
+use eelgrasspier_decide::replica::SelectionPolicy;
+use eelgrasspier_decide::text::is_valid_name;
 use ini::Ini;
 
 /// Default time in milliseconds for which a stopping instance continues to serve.
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Policy {
     /// Replica selection policy.
-    pub choice: Choice,
+    pub choice: SelectionPolicy,
     /// Quantile of the part latency after which a hedge is sent, per mille; 0 disables hedging.
     pub hedge_per_mille: u32,
 }
@@ -137,7 +137,7 @@
         let name: String = required(&ini, INSTANCE, "name")?;
         let zone: String = required(&ini, INSTANCE, "zone")?;
         for (key, value) in [("name", &name), ("zone", &zone)] {
-            if !is_name(value) {
+            if !is_valid_name(value) {
                 let value = value.clone();
                 return Err(SettingsError::BadValue { section: INSTANCE, key, value });
             }
@@ -164,8 +164,8 @@
 fn read_policy(ini: &Ini) -> Result<Policy, SettingsError> {
     let key = "replica_choice";
     let choice = match ini.get_from(Some(POLICY), key) {
-        None | Some("least-cost") => Choice::LeastCost,
-        Some("random") => Choice::Random,
+        None | Some("least-cost") => SelectionPolicy::LeastCost,
+        Some("random") => SelectionPolicy::Random,
         Some(value) => {
             let value = value.to_owned();
             return Err(SettingsError::BadValue { section: POLICY, key, value });
--- a/crates/eelgrasspier/src/shared.rs
+++ b/crates/eelgrasspier/src/shared.rs
@@ -7,7 +7,7 @@
 
 use arc_swap::ArcSwap;
 use eelgrasspier_decide::claim::{ClaimResult, Key, Nonce};
-use eelgrasspier_decide::leaving::Server;
+use eelgrasspier_decide::leaving::ServerIncarnation;
 use eelgrasspier_decide::quarantine::Report;
 use eelgrasspier_operator::{InstanceStatus, SubmitAnswer, Submitted, TextResponse, TimelineEntry};
 use eelgrasspier_peer::wire::{Parts, PartsDone};
@@ -32,7 +32,7 @@
     /// Releases the claim of an attempt that certainly sent nothing.
     Release { key: Key, nonce: Nonce },
     /// Reports that a backend server announced that it is leaving.
-    ServerLeaving(Server),
+    ServerLeaving(ServerIncarnation),
     /// Submits an edit of the operators' text.
     Submit { submitted: Submitted, reply: oneshot::Sender<SubmitAnswer> },
     /// Returns the text in force.
--- a/crates/eelgrasspier/src/traffic.rs
+++ b/crates/eelgrasspier/src/traffic.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use eelgrasspier_backend::{Exchanger, HttpExchanger, PartFailure, Report};
-use eelgrasspier_decide::leaving::Leaving;
+use eelgrasspier_decide::leaving::DrainingServers;
 use eelgrasspier_decide::prelude::Service;
 use eelgrasspier_decide::snapshot::Snapshot;
 use eelgrasspier_decide::text::ReplicaSpec;
@@ -109,13 +109,13 @@
             .map(|s| s.catalogue(epoch, &view.leaving))
             .collect();
         let dependencies: Vec<_> = dependencies.iter().map(Rc::as_ref).collect();
-        service.catalogue(epoch, &view.leaving).choose(&dependencies)
+        service.catalogue(epoch, &view.leaving).select(&dependencies)
     }
 
     /// Returns the snapshot at the version requested by the caller.
     pub(crate) fn snapshot_at(&self, service: &ServiceState, version: u64) -> Option<Snapshot> {
         let view = self.view.borrow();
-        service.catalogue(self.snapshot_epoch.get(), &view.leaving).at(version)
+        service.catalogue(self.snapshot_epoch.get(), &view.leaving).snapshot_at(version)
     }
 
     /// Updates load, latency and health of the replica after an exchange.
@@ -130,18 +130,18 @@
             Ok(answer) => {
                 let took_us = u64::try_from(completed.took.as_micros()).unwrap_or(u64::MAX);
                 service.latency.borrow_mut().record(took_us);
-                replica.load.borrow_mut().answered(took_us, answer.report.load, now_ms);
+                replica.load.borrow_mut().record_answer(took_us, answer.report.load, now_ms);
                 self.apply_report(replica, &answer.report);
             }
             Err(PartFailure::Shed(report) | PartFailure::WrongVersion(report)) => {
                 self.apply_report(replica, report);
-                replica.load.borrow_mut().failed(now_ms);
+                replica.load.borrow_mut().record_failure(now_ms);
             }
             // A timeout may be due to a short deadline, so it is not counted as a failed contact.
             // Probes detect whether the replica is down.
             Err(PartFailure::TimedOut) => {
                 let took_us = u64::try_from(completed.took.as_micros()).unwrap_or(u64::MAX);
-                replica.load.borrow_mut().outrun(took_us, now_ms);
+                replica.load.borrow_mut().record_abandoned(took_us, now_ms);
             }
             Err(failure) => self.record_failure(replica, failure),
         }
@@ -323,7 +323,7 @@
     /// Returns true if new work may be sent to the replica.
     pub(crate) fn accepts_work(&self, replica: &Replica) -> bool {
         let view = self.view.borrow();
-        let leaving: &Leaving = &view.leaving;
+        let leaving: &DrainingServers = &view.leaving;
         replica.accepts_work(leaving)
     }
 }
--- a/crates/eelgrasspier/src/view.rs
+++ b/crates/eelgrasspier/src/view.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use eelgrasspier_decide::leaving::Leaving;
-use eelgrasspier_decide::membership::State;
+use eelgrasspier_decide::leaving::DrainingServers;
+use eelgrasspier_decide::membership::InstanceState;
 use eelgrasspier_decide::prelude::{ConfigVersion, Services};
 use eelgrasspier_decide::share;
 
@@ -33,11 +33,11 @@
     /// Member lists that limit the connection shares.
     pub share_bounds: Vec<Vec<u64>>,
     /// Backend servers that are leaving.
-    pub leaving: Leaving,
+    pub leaving: DrainingServers,
     /// Other live instances that are not leaving.
     pub peers: Vec<Peer>,
     /// State that this instance announces.
-    pub state: State,
+    pub state: InstanceState,
 }
 
 impl View {
@@ -50,12 +50,12 @@
     /// Returns true if the instance can serve callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.state == State::Ready
+        self.state == InstanceState::Ready
     }
 
     /// Returns true if a planned stop has begun.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
-        self.state >= State::Leaving
+        self.state >= InstanceState::Leaving
     }
 }
--- a/crates/router/src/cold.rs
+++ b/crates/router/src/cold.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-use eelgrasspier_decide::cold::{self, ColdBounds, Windows};
+use eelgrasspier_decide::cold::{self, ColdTolerance, SlidingWindows};
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::gatherers::{self, Candidate};
 use eelgrasspier_peer::wire::{Body, ColdSend};
@@ -18,8 +18,8 @@
 /// Rate limiter for requests to cold replicas.
 #[derive(Debug, Default)]
 pub(crate) struct ColdLimiter {
-    bounds: Cell<ColdBounds>,
-    windows: RefCell<Windows>,
+    bounds: Cell<ColdTolerance>,
+    windows: RefCell<SlidingWindows>,
 }
 
 /// Permission to send a request to a replica that may be cold.
@@ -37,7 +37,7 @@
 
 impl Router {
     /// Replaces the limits for cold replicas.
-    pub fn set_cold_bounds(&self, bounds: ColdBounds) {
+    pub fn set_cold_bounds(&self, bounds: ColdTolerance) {
         self.cold.bounds.set(bounds);
     }
 
@@ -82,8 +82,8 @@
             None => ColdAdmission::Denied,
             Some(index) if index < peers.len() => ColdAdmission::AskOwner(peers[index].clone()),
             Some(_) => {
-                let is_owner = view.settled.is_settled(zone, now_ms)
-                    && cold::is_in_touch(view.fleet, self.shared.heard_ms(), now_ms);
+                let is_owner = view.settled.is_stable(zone, now_ms)
+                    && cold::is_connected(view.fleet, self.shared.heard_ms(), now_ms);
                 let has_room = self.cold.windows.borrow().has_room(&replica.id, share, now_ms);
                 if is_owner && has_room {
                     ColdAdmission::CountedHere
@@ -98,14 +98,14 @@
     fn cold_rate_limit(&self, view: &View, replica: &ReplicaEntry) -> Option<usize> {
         let services = &view.configuration.as_ref()?.services;
         let rate_milli = services.get(&replica.service)?.cold_rate_milli;
-        cold::share(rate_milli, self.cold.bounds.get())
+        cold::coordinator_limit(rate_milli, self.cold.bounds.get())
     }
 
     /// Counts one request to a cold replica; returns false if the limit has been reached.
     pub(crate) fn try_take_cold_send(&self, view: &View, replica: &ReplicaEntry) -> bool {
         let Some(share) = self.cold_rate_limit(view, replica) else { return true };
         let now_ms = self.shared.now_ms();
-        let is_taken = self.cold.windows.borrow_mut().take(&replica.id, share, now_ms);
+        let is_taken = self.cold.windows.borrow_mut().try_record(&replica.id, share, now_ms);
         count_cold_send(is_taken);
         is_taken
     }
@@ -153,7 +153,7 @@
 
     /// Drops counts that are older than the rate limit's window.
     pub(crate) fn tidy_cold(&self) {
-        self.cold.windows.borrow_mut().tidy(self.shared.now_ms());
+        self.cold.windows.borrow_mut().remove_idle(self.shared.now_ms());
     }
 }
 
--- a/crates/router/src/control/apply.rs
+++ b/crates/router/src/control/apply.rs
@@ -108,15 +108,15 @@
             Effect::Set(name, content) => {
                 ZoneChange::Evacuated(self.decode.evacuated_zone(&name, &content))
             }
-            Effect::Removed(name) => ZoneChange::TakenBack(name.into()),
+            Effect::Removed(name) => ZoneChange::Returned(name.into()),
         };
         let (event, zone) = match &change {
             ZoneChange::Evacuated(zone) => ("event=zone_evacuated", Arc::clone(zone)),
-            ZoneChange::TakenBack(zone) => ("event=zone_taken_back", Arc::clone(zone)),
+            ZoneChange::Returned(zone) => ("event=zone_taken_back", Arc::clone(zone)),
         };
         let mut evacuations = self.evacuations.borrow_mut();
         let has_changed = evacuations.apply(change, self.shared.now_ms());
-        let evacuated = u32::try_from(evacuations.evacuated().count()).unwrap_or(u32::MAX);
+        let evacuated = u32::try_from(evacuations.evacuated_zones().count()).unwrap_or(u32::MAX);
         metrics::gauge!("eelgrasspier_evacuated_zones").set(f64::from(evacuated));
         let replicas = self.directory.borrow().entries().filter(|e| e.zone == zone).count();
         log::info!(
--- a/crates/router/src/control/fetch.rs
+++ b/crates/router/src/control/fetch.rs
@@ -55,7 +55,7 @@
         // After a restore of the store the newest version may be missing at any position.
         let has_newer = |m: &Member| kind == Kind::Configuration && m.config_version > version;
         let is_ahead = |m: &&Member| {
-            (position_of(m, kind) > known || has_newer(m)) && !pulls.is_asked(&m.name)
+            (position_of(m, kind) > known || has_newer(m)) && !pulls.is_pulling_from(&m.name)
         };
         let ahead = membership.live_peers().filter(is_ahead);
         // Prefers an instance of the own zone, so that each change crosses zones only once.
@@ -70,16 +70,16 @@
             return;
         }
         self.behind_since_ms.borrow_mut().remove(&kind);
-        self.pulls.borrow_mut().entry(kind).or_default().start(&name, now_ms);
+        self.pulls.borrow_mut().entry(kind).or_default().record_start(&name, now_ms);
         let control = Rc::clone(self);
         actix_rt::spawn(async move {
-            let timeout = Duration::from_millis(pulls::GIVE_UP_MS);
+            let timeout = Duration::from_millis(pulls::PULL_TIMEOUT_MS);
             match control.fetch_changes(addr, kind, known, timeout).await {
                 Ok(Some(changes)) => control.apply_changes(kind, &changes, &name),
                 Ok(None) => log::warn!("event=fetch_refused from={name}"),
                 Err(error) => log::info!("event=fetch_failed from={name} cause=\"{error}\""),
             }
-            control.pulls.borrow_mut().entry(kind).or_default().end(&name);
+            control.pulls.borrow_mut().entry(kind).or_default().record_end(&name);
         });
     }
 
--- a/crates/router/src/control/follow.rs
+++ b/crates/router/src/control/follow.rs
@@ -5,7 +5,7 @@
 
 use eelgrasspier_decide::history::Position;
 use eelgrasspier_decide::mirror::Mirror;
-use eelgrasspier_decide::outage::{self, LEAST_PAUSE_MS, MOST_PAUSE_MS};
+use eelgrasspier_decide::outage::{self, MAX_BACKOFF_MS, MIN_BACKOFF_MS};
 use eelgrasspier_decide::watchers;
 use eelgrasspier_store::{Backoff, CollectionError, Kind};
 
@@ -54,7 +54,7 @@
 impl Control {
     /// Keeps one kind up to date by lists, watches and polls, for as long as the thread runs.
     pub(super) async fn follow(self: Rc<Self>, kind: Kind) {
-        let mut backoff = Backoff::new(LEAST_PAUSE_MS, MOST_PAUSE_MS);
+        let mut backoff = Backoff::new(MIN_BACKOFF_MS, MAX_BACKOFF_MS);
         if self.identity.is_first_start {
             self.wait_for_first_list(kind).await;
         } else {
@@ -205,8 +205,9 @@
     async fn back_off(&self, pause: Duration) {
         let pause_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
         // Only a few instances probe for the end of an outage, so they may do it often.
-        let sharers = if self.is_outage_prober() { watchers::FINDERS } else { self.instances() };
-        let pause = Duration::from_millis(outage::pause_ms(pause_ms, sharers));
+        let sharers =
+            if self.is_outage_prober() { watchers::MAX_OUTAGE_PROBERS } else { self.instances() };
+        let pause = Duration::from_millis(outage::scaled_backoff_ms(pause_ms, sharers));
         let reached = self.peer_reached_store.notified();
         if tokio::time::timeout(pause, reached).await.is_ok() {
             let jitter_ms = rand::random_range(0..RECONNECT_JITTER_MS);
@@ -221,7 +222,7 @@
         }
         while !self.is_store_up.get() {
             let roles_changed = self.roles_changed.notified();
-            let max_pause = Duration::from_millis(MOST_PAUSE_MS);
+            let max_pause = Duration::from_millis(MAX_BACKOFF_MS);
             // A spurious wake-up does no harm: the loop checks again.
             let _ = tokio::time::timeout(max_pause, roles_changed).await;
         }
--- a/crates/router/src/control/instances.rs
+++ b/crates/router/src/control/instances.rs
@@ -5,7 +5,7 @@
 
 use eelgrasspier_decide::contacts;
 use eelgrasspier_decide::membership::ListedInstance;
-use eelgrasspier_decide::outage::{LEAST_PAUSE_MS, MOST_PAUSE_MS};
+use eelgrasspier_decide::outage::{MAX_BACKOFF_MS, MIN_BACKOFF_MS};
 use eelgrasspier_store::{Announcement, Backoff, CollectionError, Kind};
 
 use super::Control;
@@ -49,7 +49,7 @@
 impl Control {
     /// Keeps the own entry up to date, if this instance has one, and reads the others periodically.
     pub(super) async fn follow_instances(self: Rc<Self>) {
-        let mut backoff = Backoff::new(LEAST_PAUSE_MS, MAX_LIST_PAUSE_MS);
+        let mut backoff = Backoff::new(MIN_BACKOFF_MS, MAX_LIST_PAUSE_MS);
         let mut entries = EntryState::default();
         if self.identity.is_first_start {
             tokio::time::sleep(GOSSIP_JOIN_TIME).await;
@@ -72,7 +72,8 @@
         }
         self.schedule_rewrite_after_restore(entries);
         let instances = self.instances();
-        let is_current = entries.written_size.is_some_and(|n| !contacts::is_outdated(n, instances));
+        let is_current =
+            entries.written_size.is_some_and(|n| !contacts::must_rewrite(n, instances));
         if !is_current && self.may_announce() {
             let announced = self.store.announce(&self.announcement(instances)).await;
             announced.inspect_err(|e| log::info!("event=not_announced cause=\"{e}\""))?;
@@ -154,7 +155,7 @@
         let names: Vec<&str> = listed.iter().map(|l| l.name.as_str()).collect();
         let own = self.identity.name.as_str();
         if entries.written_size.is_some()
-            && self.roster.borrow_mut().is_own_lost(names.contains(&own))
+            && self.roster.borrow_mut().must_rewrite_own(names.contains(&own))
         {
             entries.written_size = None;
         }
@@ -162,7 +163,7 @@
             let membership = self.membership.borrow();
             let alive: Vec<&str> = membership.live_peers().map(|m| m.name.as_str()).collect();
             let is_there = |name: &str| name == own || alive.contains(&name);
-            self.roster.borrow_mut().gone(&names, is_there, self.shared.now_ms())
+            self.roster.borrow_mut().stale(&names, is_there, self.shared.now_ms())
         };
         // Only watchers withdraw, to limit the number of calls. Withdrawing twice does no harm.
         for name in gone.iter().filter(|_| self.is_watcher()) {
@@ -178,7 +179,7 @@
     /// Returns the pause before the next retry to write or read entries.
     fn list_back_off(&self, backoff: &mut Backoff) -> Duration {
         let pause = backoff.next_pause();
-        if self.is_alone() { pause.min(Duration::from_millis(MOST_PAUSE_MS)) } else { pause }
+        if self.is_alone() { pause.min(Duration::from_millis(MAX_BACKOFF_MS)) } else { pause }
     }
 }
 
--- a/crates/router/src/control/members.rs
+++ b/crates/router/src/control/members.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use eelgrasspier_decide::membership::{
-    Datagram, Member, MembershipChange, OutgoingDatagram, State,
+    Datagram, InstanceState, Member, MembershipChange, OutgoingDatagram,
 };
 use eelgrasspier_decide::mirror::Mirror;
 use eelgrasspier_store::Kind;
@@ -198,8 +198,8 @@
 
     pub(super) fn set_ready(&self, is_ready: bool) {
         let mut membership = self.membership.borrow_mut();
-        if is_ready && membership.own().state() == State::Starting {
-            membership.update_own(|m| m.state = State::Ready as i32);
+        if is_ready && membership.own().state() == InstanceState::Starting {
+            membership.update_own(|m| m.state = InstanceState::Ready as i32);
             drop(membership);
             log::info!("event=ready");
             // The others send it gather requests only after they have learnt that it is ready.
@@ -209,7 +209,7 @@
 
     /// Announces that this instance accepts no new requests.
     pub(super) fn announce_leaving(&self) {
-        self.membership.borrow_mut().update_own(|m| m.state = State::Leaving as i32);
+        self.membership.borrow_mut().update_own(|m| m.state = InstanceState::Leaving as i32);
         self.send_own_record();
     }
 }
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -19,15 +19,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use eelgrasspier_decide::cold::Settled;
+use eelgrasspier_decide::cold::CoordinatorStability;
 use eelgrasspier_decide::directory::ReplicaDirectory;
 use eelgrasspier_decide::evacuations::Evacuations;
 use eelgrasspier_decide::history::{EraTracker, Position};
-use eelgrasspier_decide::membership::{Member, Membership, OutgoingDatagram, State};
+use eelgrasspier_decide::membership::{InstanceState, Member, Membership, OutgoingDatagram};
 use eelgrasspier_decide::mirror::{Changes, Mirror};
-use eelgrasspier_decide::pulls::Pulls;
+use eelgrasspier_decide::pulls::ConcurrentPulls;
 use eelgrasspier_decide::quarantine::Report;
-use eelgrasspier_decide::roster::Roster;
+use eelgrasspier_decide::roster::StaleEntries;
 use eelgrasspier_decide::route::{Configuration, RouteTable};
 use eelgrasspier_peer::{Links, wire};
 use eelgrasspier_store::{Collections, Decode, Kind};
@@ -85,7 +85,7 @@
     /// Time until which each rate-limited replica is cold.
     cold_until_ms: RefCell<Arc<HashMap<Arc<str>, u64>>>,
     /// Time since which the set of gathering instances of each zone is unchanged.
-    gatherer_stability: RefCell<Settled>,
+    gatherer_stability: RefCell<CoordinatorStability>,
     /// Addresses of instances in other zones, as of the last published view.
     remote_zone_addrs: RefCell<HashSet<SocketAddr>>,
     /// True if members have changed since the last published view.
@@ -116,11 +116,11 @@
     /// Membership epoch at which roles were last evaluated.
     roles_epoch: Cell<u64>,
     /// Listed instances that are not alive.
-    roster: RefCell<Roster>,
+    roster: RefCell<StaleEntries>,
     /// Fleet size according to the store's entries; `None` until they have been read.
     listed_fleet_size: Cell<Option<u64>>,
     /// Changes that are being fetched from other instances.
-    pulls: RefCell<HashMap<Kind, Pulls>>,
+    pulls: RefCell<HashMap<Kind, ConcurrentPulls>>,
     /// Wakes tasks when roles may have changed.
     roles_changed: Notify,
     /// State of the crashing requests that the store holds.
@@ -245,7 +245,7 @@
         name: identity.name.clone(),
         incarnation,
         revision: 1,
-        state: State::Starting as i32,
+        state: InstanceState::Starting as i32,
         zone: identity.zone.clone(),
         peer_addr: identity.peer_addr.to_string(),
         is_store_reached: true,
--- a/crates/router/src/control/restore.rs
+++ b/crates/router/src/control/restore.rs
@@ -6,7 +6,7 @@
 
 use eelgrasspier_decide::directory::LAPSED_RETENTION_MS;
 use eelgrasspier_decide::history::{EraComparison, Position};
-use eelgrasspier_decide::membership::{Member, State};
+use eelgrasspier_decide::membership::{InstanceState, Member};
 use eelgrasspier_decide::mirror::{ApplyResult, Mirror, RestorePolicy, Retention};
 use eelgrasspier_store::{Answer, Kind};
 
@@ -203,7 +203,8 @@
     /// Returns the address of the instance with the newest configuration, if any has one.
     fn confirmation_peer(&self) -> Option<SocketAddr> {
         let membership = self.membership.borrow();
-        let has_configuration = |m: &&Member| m.state() == State::Ready || m.config_version > 0;
+        let has_configuration =
+            |m: &&Member| m.state() == InstanceState::Ready || m.config_version > 0;
         let newest =
             membership.live_peers().filter(has_configuration).max_by_key(|m| m.config_version);
         newest.and_then(|m| m.peer_addr.parse().ok())
--- a/crates/router/src/control/roles.rs
+++ b/crates/router/src/control/roles.rs
@@ -4,7 +4,7 @@
 
 use eelgrasspier_decide::contacts;
 use eelgrasspier_decide::gatherers;
-use eelgrasspier_decide::membership::{Liveness, Member, State};
+use eelgrasspier_decide::membership::{InstanceState, Liveness, Member};
 use eelgrasspier_decide::rendezvous;
 use eelgrasspier_decide::watchers::{self, Candidate};
 
@@ -29,8 +29,11 @@
             zone: rendezvous::hash(&m.zone),
             is_store_reached: m.is_store_reached,
         };
-        let others: Vec<Candidate> =
-            membership.live_peers().filter(|m| m.state() != State::Left).map(candidate).collect();
+        let others: Vec<Candidate> = membership
+            .live_peers()
+            .filter(|m| m.state() != InstanceState::Left)
+            .map(candidate)
+            .collect();
         is_chosen(candidate(membership.own()), &others)
     }
 
@@ -41,7 +44,7 @@
 
     /// True if this instance is one of the few that probe for the end of a store outage.
     pub(super) fn is_outage_prober(&self) -> bool {
-        self.has_role(watchers::is_finder)
+        self.has_role(watchers::is_outage_prober)
     }
 
     /// True if this instance fetches changes from other zones for its own.
@@ -76,7 +79,7 @@
             |m: &Member| gatherers::Candidate { key: m.key(), capacity_milli: m.capacity_milli };
         let all =
             own.chain(membership.live_peers().filter(|m| is_serving(m))).filter(|m| m.zone == zone);
-        gatherers::choose(zone, &all.map(candidate).collect::<Vec<_>>())
+        gatherers::select_gatherers(zone, &all.map(candidate).collect::<Vec<_>>())
     }
 
     pub(super) fn is_gatherer(&self) -> bool {
@@ -107,5 +110,5 @@
 }
 
 fn is_serving(member: &Member) -> bool {
-    member.state() == State::Ready && member.liveness() == Liveness::Alive
+    member.state() == InstanceState::Ready && member.liveness() == Liveness::Alive
 }
--- a/crates/router/src/control/stored_suspects.rs
+++ b/crates/router/src/control/stored_suspects.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use eelgrasspier_decide::fingerprint::Fingerprint;
-use eelgrasspier_decide::outage::LEAST_PAUSE_MS;
+use eelgrasspier_decide::outage::MIN_BACKOFF_MS;
 use eelgrasspier_decide::quarantine::Report;
 use eelgrasspier_store::{Backoff, CollectionError, KeptRequest, Kind};
 use tokio::sync::Notify;
@@ -81,7 +81,7 @@
 
     /// Writes scheduled requests to the store, for as long as the thread runs.
     pub(super) async fn write_due_suspects(self: Rc<Self>) {
-        let mut backoff = Backoff::new(LEAST_PAUSE_MS, MAX_PAUSE_MS);
+        let mut backoff = Backoff::new(MIN_BACKOFF_MS, MAX_PAUSE_MS);
         loop {
             let first = self.stored_suspects.due.borrow().iter().map(|(f, at)| (*at, *f)).min();
             let Some((at, request)) = first else {
@@ -159,7 +159,7 @@
             // The store holds no requests yet.
             return;
         }
-        let mut backoff = Backoff::new(LEAST_PAUSE_MS, MAX_PAUSE_MS);
+        let mut backoff = Backoff::new(MIN_BACKOFF_MS, MAX_PAUSE_MS);
         for at in READ_AGES {
             let age = Duration::from_millis(self.shared.now_ms());
             tokio::time::sleep(at.saturating_sub(age)).await;
--- a/crates/router/src/control/views.rs
+++ b/crates/router/src/control/views.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use eelgrasspier_decide::cold::Settled;
+use eelgrasspier_decide::cold::CoordinatorStability;
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::mirror::Mirror;
 use eelgrasspier_store::Kind;
@@ -51,7 +51,7 @@
     }
 
     /// Updates the set of gathering instances of each zone, this instance included.
-    fn update_gatherers(&self, peers: &[Peer], is_gatherer: bool) -> Arc<Settled> {
+    fn update_gatherers(&self, peers: &[Peer], is_gatherer: bool) -> Arc<CoordinatorStability> {
         let mut keys: BTreeMap<Arc<str>, Vec<u64>> = BTreeMap::new();
         for peer in peers.iter().filter(|p| p.is_gatherer) {
             keys.entry(Arc::clone(&peer.zone)).or_default().push(peer.candidate().key);
@@ -61,7 +61,7 @@
             keys.entry(self.identity.zone.as_str().into()).or_default().push(own);
         }
         let mut gatherer_stability = self.gatherer_stability.borrow_mut();
-        gatherer_stability.note(keys, self.shared.now_ms());
+        gatherer_stability.update(keys, self.shared.now_ms());
         Arc::new(gatherer_stability.clone())
     }
 
--- a/crates/router/src/gather/mod.rs
+++ b/crates/router/src/gather/mod.rs
@@ -160,7 +160,7 @@
             route,
             route_state,
             request,
-            required_shards: route.least_shards(services.len()),
+            required_shards: route.min_shards(services.len()),
             timing,
             shards: services.into_iter().map(shard).collect(),
             deadlines,
--- a/crates/router/src/gather/quarantine.rs
+++ b/crates/router/src/gather/quarantine.rs
@@ -160,7 +160,7 @@
             is_pending && self.eligible_replicas(shard).next().is_some()
         };
         let waiting = (0..self.shards.len()).filter(is_waiting);
-        waiting.min_by_key(|&i| fingerprint.order(&self.shards[i].service))
+        waiting.min_by_key(|&i| fingerprint.shard_order_key(&self.shards[i].service))
     }
 
     fn treatment(&self) -> Treatment {
--- a/crates/router/src/gather/relay.rs
+++ b/crates/router/src/gather/relay.rs
@@ -9,7 +9,7 @@
 use eelgrasspier_decide::admission;
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::gatherers::{self, Candidate};
-use eelgrasspier_decide::relays::{self, Group, LEAST_GROUP, Place};
+use eelgrasspier_decide::relays::{self, Group, MIN_GROUP_SHARDS, ReplicaLocation};
 use eelgrasspier_decide::rendezvous;
 use eelgrasspier_peer::PeerError;
 use eelgrasspier_peer::wire::{self, Body};
@@ -146,9 +146,9 @@
         let places = shards.into_iter().map(|index| (index, zones(index)));
         let places = places.filter(|(_, zones)| !zones.is_empty()).collect();
         let tie_breaker = rand::random();
-        let min_group_size = if is_sliced(&router.zone) { 1 } else { LEAST_GROUP };
+        let min_group_size = if is_sliced(&router.zone) { 1 } else { MIN_GROUP_SHARDS };
         let mut assigned = Vec::new();
-        for group in relays::group(places, preferred_zone, min_group_size, tie_breaker) {
+        for group in relays::group_by_zone(places, preferred_zone, min_group_size, tie_breaker) {
             if is_sliced(group.zone) {
                 assigned.extend(self.split_by_owner(&group, peers));
             } else if let Some(peer) = router.best_peer(peers, group.zone, tie_breaker) {
@@ -235,16 +235,16 @@
     /// Draws the replicas that may be used for a shard relayed to `zone`; returns their marks.
     fn draw_replicas(&self, index: usize, zone: &str) -> Vec<u32> {
         let all: Vec<_> = self.replicas(&self.shards[index].service).collect();
-        let places: Vec<Place<'_>> = all.iter().map(|r| self.place(r)).collect();
+        let places: Vec<ReplicaLocation<'_>> = all.iter().map(|r| self.place(r)).collect();
         let request = rendezvous::hash(self.request.id_text());
-        let drawn = relays::allowed(&places, zone, self.route.attempts, request);
-        drawn.into_iter().map(|i| relays::mark(&all[i].id)).collect()
+        let drawn = relays::select_replicas(&places, zone, self.route.attempts, request);
+        drawn.into_iter().map(|i| relays::replica_hash(&all[i].id)).collect()
     }
 
-    fn place(&self, replica: &'a ReplicaEntry) -> Place<'a> {
-        let is_slow =
-            self.router.is_slow(relays::mark(&replica.id)) || !self.may_send_directly(replica);
-        Place { id: &replica.id, zone: &replica.zone, is_slow }
+    fn place(&self, replica: &'a ReplicaEntry) -> ReplicaLocation<'a> {
+        let is_slow = self.router.is_slow(relays::replica_hash(&replica.id))
+            || !self.may_send_directly(replica);
+        ReplicaLocation { id: &replica.id, zone: &replica.zone, is_slow }
     }
 
     fn peer_request(&self, shards: &[usize], now_ms: u64, options: RelayOptions) -> Body {
@@ -267,7 +267,7 @@
         // Padded to a fixed length, so that the receiver can split the list by shard.
         let marks = |&i: &usize| {
             let mut marks = self.shards[i].allowed.clone().unwrap_or_default();
-            marks.resize(self.route.attempts.max(1), relays::NO_MARK);
+            marks.resize(self.route.attempts.max(1), relays::NO_REPLICA_HASH);
             marks
         };
         Body::Gather(wire::Gather {
--- a/crates/router/src/gather/shard.rs
+++ b/crates/router/src/gather/shard.rs
@@ -57,7 +57,7 @@
 
     /// True if the replica is among those drawn for a relay, or none were drawn.
     pub(super) fn allows(&self, replica: &ReplicaEntry) -> bool {
-        self.allowed.as_ref().is_none_or(|marks| marks.contains(&relays::mark(&replica.id)))
+        self.allowed.as_ref().is_none_or(|marks| marks.contains(&relays::replica_hash(&replica.id)))
     }
 
     /// Returns the number of replicas that ran the request or may still run it.
@@ -120,10 +120,10 @@
             return Refusal::not_run(RefusalReason::Overloaded, Some(retry_after_ms));
         }
         if let Some(retry_after_ms) = self.quarantined_ms.filter(|_| !self.may_have_run) {
-            return Refusal::not_run(RefusalReason::EndsReplicas, Some(retry_after_ms));
+            return Refusal::not_run(RefusalReason::CrashesReplicas, Some(retry_after_ms));
         }
         let reason = match (self.is_timed_out, self.may_have_run) {
-            (true, _) => RefusalReason::TooLate,
+            (true, _) => RefusalReason::DeadlineTooClose,
             (false, true) => RefusalReason::AnswerLost,
             (false, false) => RefusalReason::NoReplica,
         };
--- a/crates/router/src/losses.rs
+++ b/crates/router/src/losses.rs
@@ -22,7 +22,7 @@
         }
         let lost = LostSend {
             request: request.fingerprint(),
-            send_id: relays::mark(&format!("{} {}", request.id_text(), replica.id)),
+            send_id: relays::replica_hash(&format!("{} {}", request.id_text(), replica.id)),
             is_trial: request.learnt.isolated_trials.borrow().contains(&replica.id),
         };
         let replica_hash = rendezvous::hash(&replica.id);
--- a/crates/router/src/outcome.rs
+++ b/crates/router/src/outcome.rs
@@ -1,6 +1,6 @@
 //! Builds the outcome for the caller from the gathered results, and logs it.
 
-use eelgrasspier_decide::merge::Greatest;
+use eelgrasspier_decide::merge::TopRecords;
 use eelgrasspier_decide::prelude::{Refusal, RefusalReason};
 use eelgrasspier_decide::route::Route;
 
@@ -21,11 +21,11 @@
 
 /// Returns the outcome of a request to `total` shards.
 pub(crate) fn merged_outcome(route: &Route, total: usize, gathered: Gathered) -> Outcome {
-    let (covered, wanted) = (gathered.parts(), route.least_shards(total));
+    let (covered, wanted) = (gathered.parts(), route.min_shards(total));
     if covered < wanted {
         return Outcome::Refused(coverage_refusal(&gathered, covered, wanted));
     }
-    let mut greatest = Greatest::new(route.top_k);
+    let mut greatest = TopRecords::new(route.top_k);
     let mut signatures = Vec::with_capacity(total);
     for merged in gathered.merged {
         greatest.add(&merged.records);
@@ -55,10 +55,10 @@
     match reason {
         RefusalReason::Overloaded => "overloaded",
         RefusalReason::Coverage { .. } => "coverage",
-        RefusalReason::TooLate => "too_late",
+        RefusalReason::DeadlineTooClose => "too_late",
         RefusalReason::AnswerLost => "answer_lost",
         RefusalReason::NoReplica => "no_replica",
-        RefusalReason::EndsReplicas => "ends_replicas",
+        RefusalReason::CrashesReplicas => "ends_replicas",
         RefusalReason::NotReady => "not_ready",
         RefusalReason::UnknownRoute(_) => "unknown_route",
         _ => "other",
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use eelgrasspier_backend::Offered;
 use eelgrasspier_decide::gatherers::{self, Candidate};
-use eelgrasspier_decide::merge::Greatest;
+use eelgrasspier_decide::merge::TopRecords;
 use eelgrasspier_decide::route::{Route, Target};
 use eelgrasspier_peer::PeerError;
 use eelgrasspier_peer::wire::{self, Body};
@@ -194,9 +194,9 @@
         attempts: to_usize(peer_request.attempts),
         timeout_ms: peer_request.time_left_ms,
         target_latency_ms: peer_request.target_latency_ms,
-        rank: 0,
+        priority: 0,
         top_k: to_usize(peer_request.top_k),
-        least_share: 0.0,
+        min_coverage: 0.0,
         home_regions: peer_request.home_regions.iter().map(|r| r.as_str().into()).collect(),
     }
 }
@@ -222,7 +222,7 @@
 }
 
 fn to_wire(gathered: Gathered, top_k: usize) -> wire::Gathered {
-    let mut greatest = Greatest::new(top_k);
+    let mut greatest = TopRecords::new(top_k);
     let mut parts = Vec::with_capacity(gathered.replies.len());
     let signed = |(shard, signature): (usize, Bytes)| wire::Signed {
         shard: u32::try_from(shard).unwrap_or(u32::MAX),
--- a/crates/router/src/route_state.rs
+++ b/crates/router/src/route_state.rs
@@ -3,8 +3,8 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-use eelgrasspier_decide::hedge::Quantile;
-use eelgrasspier_decide::route::Dealer;
+use eelgrasspier_decide::hedge::LatencyQuantile;
+use eelgrasspier_decide::route::WeightedRoundRobin;
 
 /// Typical latency assumed until enough answers have been measured, in milliseconds.
 const INITIAL_TYPICAL_MS: f64 = 10.0;
@@ -77,11 +77,11 @@
 /// State learned from the requests of one route.
 #[derive(Debug, Default)]
 pub(crate) struct RouteState {
-    latency: RefCell<Quantile>,
+    latency: RefCell<LatencyQuantile>,
     /// Time of the latest latency sample, in milliseconds.
     last_sample_ms: Cell<u64>,
-    relay_latency: RefCell<Quantile>,
-    pub(crate) splitter: RefCell<Dealer>,
+    relay_latency: RefCell<LatencyQuantile>,
+    pub(crate) splitter: RefCell<WeightedRoundRobin>,
     /// Longest deadline that a caller has set, in milliseconds; that of a first attempt.
     max_deadline_ms: Cell<u64>,
 }
@@ -91,7 +91,7 @@
     pub(crate) fn record_exchange(&self, took: Duration, now_ms: u64) {
         let took_us = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
         if now_ms >= self.last_sample_ms.replace(now_ms) + TYPICAL_LATENCY_TTL_MS {
-            *self.latency.borrow_mut() = Quantile::default();
+            *self.latency.borrow_mut() = LatencyQuantile::default();
         }
         self.latency.borrow_mut().record(took_us);
     }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -155,7 +155,9 @@
         let state = self.route_state(&route.name);
         let services = match &route.target {
             Target::Service(service) => vec![Arc::clone(service)],
-            Target::Split(split) => state.splitter.borrow_mut().next(split).into_iter().collect(),
+            Target::Split(split) => {
+                state.splitter.borrow_mut().next_service(split).into_iter().collect()
+            }
             Target::Shards(shards) => shards.to_vec(),
         };
         let total = services.len();
@@ -219,7 +221,7 @@
 
     /// True if requests with these home regions may be sent to the zone.
     pub(crate) fn is_home(&self, homes: &[Arc<str>], zone: &str) -> bool {
-        self.regions.borrow().is_home(homes, zone)
+        self.regions.borrow().is_home_zone(homes, zone)
     }
 
     /// Replaces the retry budget limits.
--- a/crates/router/src/setup.rs
+++ b/crates/router/src/setup.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use eelgrasspier_decide::allowance::RetryLimits;
-use eelgrasspier_decide::cold::ColdBounds;
+use eelgrasspier_decide::cold::ColdTolerance;
 use eelgrasspier_decide::homes::Regions;
 
 /// The validated settings of one instance.
@@ -39,5 +39,5 @@
     /// True if operators evacuate availability zones by entries in the store.
     pub has_evacuations: bool,
     /// What cold replicas may receive beyond their rate.
-    pub cold_bounds: ColdBounds,
+    pub cold_bounds: ColdTolerance,
 }
--- a/crates/router/src/told.rs
+++ b/crates/router/src/told.rs
@@ -42,7 +42,7 @@
             let (load, ratio) = (standing.load(now_ms), standing.ratio(now_ms));
             let is_busy = load >= f64::from(replica.slots) || ratio >= MIN_REPORTED_RATIO;
             is_busy.then_some(wire::Busy {
-                mark: relays::mark(&replica.id),
+                mark: relays::replica_hash(&replica.id),
                 load: rounded(load),
                 ratio_tenths: rounded(ratio * 10.0),
             })
@@ -63,7 +63,7 @@
         }
         let now_ms = self.shared.now_ms();
         for replica in services.filter_map(|s| view.replicas.get(s)).flatten() {
-            let mark = relays::mark(&replica.id);
+            let mark = relays::replica_hash(&replica.id);
             let Some(reported) = busy.iter().find(|b| b.mark == mark) else { continue };
             let reported = ReplicaReport {
                 load: reported.load,
@@ -82,7 +82,7 @@
             standing.is_some_and(|s| s.borrow().cost(replica.slots, now_ms) > SLOW_COST_RATIO)
         };
         let listed = services.iter().filter_map(|s| view.replicas.get(s)).flatten();
-        listed.filter(is_slow).map(|r| relays::mark(&r.id)).collect()
+        listed.filter(is_slow).map(|r| relays::replica_hash(&r.id)).collect()
     }
 
     /// Records replicas that another instance reports as slow.
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -8,8 +8,8 @@
 
 use arc_swap::ArcSwap;
 use eelgrasspier_decide::allowance;
-use eelgrasspier_decide::cold::Settled;
-use eelgrasspier_decide::connections::{LEAST_CONNECTIONS, Part, Place};
+use eelgrasspier_decide::cold::CoordinatorStability;
+use eelgrasspier_decide::connections::{ConnectionShare, MIN_CONNECTIONS, MembershipView};
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::gatherers::Candidate;
 use eelgrasspier_decide::rendezvous;
@@ -65,7 +65,7 @@
     /// The other serving instances.
     pub peers: Arc<Vec<Peer>>,
     /// This instance's share of the connections to the replicas of each zone.
-    pub connection_shares: Vec<(Arc<str>, Part)>,
+    pub connection_shares: Vec<(Arc<str>, ConnectionShare)>,
     /// The other instances that gather.
     pub gatherers: Vec<Peer>,
     /// Zones in which only some instances gather, for the others too.
@@ -77,7 +77,7 @@
     /// Time since which the gathering instances of each zone are unchanged.
     ///
     /// They count the sends to the cold replicas of the zone.
-    pub settled: Arc<Settled>,
+    pub settled: Arc<CoordinatorStability>,
 }
 
 impl View {
@@ -112,16 +112,18 @@
         self
     }
 
-    fn connection_place(&self, zone: &str, own_zone: &str) -> Place {
+    fn connection_place(&self, zone: &str, own_zone: &str) -> MembershipView {
         let to_u32 = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         let near_peers = to_u32(self.gatherers.iter().filter(|p| &*p.zone == zone).count());
         let known = to_u32(self.peers.len()) + 1;
-        Place {
-            is_near: zone == own_zone && self.is_gatherer,
-            is_sliced: self.is_sliced(zone),
-            near_peers,
-            far_peers: to_u32(self.gatherers.len()) - near_peers,
-            unknown: u32::try_from(self.instances).unwrap_or(u32::MAX).saturating_sub(known),
+        MembershipView {
+            is_same_zone: zone == own_zone && self.is_gatherer,
+            has_delegating_instances: self.is_sliced(zone),
+            same_zone_gatherers: near_peers,
+            other_zone_gatherers: to_u32(self.gatherers.len()) - near_peers,
+            unknown_instances: u32::try_from(self.instances)
+                .unwrap_or(u32::MAX)
+                .saturating_sub(known),
         }
     }
 
@@ -129,7 +131,7 @@
     #[must_use]
     pub fn most_connections(&self, zone: &str, all: u32) -> u32 {
         let part = self.connection_shares.iter().find(|(name, _)| **name == *zone);
-        part.map_or(LEAST_CONNECTIONS, |(_, part)| part.of(all))
+        part.map_or(MIN_CONNECTIONS, |(_, part)| part.connections(all))
     }
 
     /// True if connections to replicas stay open after an answer.
@@ -147,7 +149,7 @@
     #[must_use]
     pub fn accepted_connections(&self, service: &str) -> u32 {
         let limits = self.configuration.as_ref().and_then(|c| c.services.get(service));
-        limits.map_or(LEAST_CONNECTIONS, |l| l.max_connections)
+        limits.map_or(MIN_CONNECTIONS, |l| l.max_connections)
     }
 
     /// True if a replica accepts new requests.
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -228,9 +228,9 @@
         attempts: 2,
         timeout_ms: 400,
         target_latency_ms: 80,
-        rank: 0,
+        priority: 0,
         top_k: 5,
-        least_share: 0.75,
+        min_coverage: 0.75,
         home_regions: [].into(),
     }
 }
--- a/crates/router/tests/delegates.rs
+++ b/crates/router/tests/delegates.rs
@@ -177,7 +177,7 @@
         }
         let world = small_instance(vec![other.peer.clone()]);
         let mut strict = long_route();
-        strict.least_share = 1.0;
+        strict.min_coverage = 1.0;
         strict.target_latency_ms = 300;
         let mut view = view(strict, SHARDS);
         view.is_gatherer = false;
--- a/crates/router/tests/lost_relays.rs
+++ b/crates/router/tests/lost_relays.rs
@@ -60,7 +60,7 @@
 fn long_route() -> eelgrasspier_decide::route::Route {
     let mut long = route(SHARDS);
     (long.timeout_ms, long.target_latency_ms) = (DEADLINE_MS, 1_500);
-    long.least_share = 1.0;
+    long.min_coverage = 1.0;
     long
 }
 
--- a/crates/router/tests/overload.rs
+++ b/crates/router/tests/overload.rs
@@ -92,7 +92,7 @@
         for id in ["t1", "t2", "t3", "t4", "t5"] {
             world.serve(id, 400).await;
         }
-        let both = ["s0/a", "s0/b", "s1/a", "s1/b"].map(relays::mark);
+        let both = ["s0/a", "s0/b", "s1/a", "s1/b"].map(relays::replica_hash);
         let gather_request = wire::Gather {
             request_id: "r1".into(),
             method: "GET".to_owned(),
@@ -111,7 +111,7 @@
         };
         let answer = world.router.gather_for_peer(gather_request.clone()).await;
         assert_eq!((answer.parts.len(), answer.left_out), (1, vec![1]));
-        let slow = ["s1/a", "s1/b"].map(relays::mark);
+        let slow = ["s1/a", "s1/b"].map(relays::replica_hash);
         assert!(slow.iter().all(|mark| answer.slow.contains(mark)));
         // If no shard may be missing, nothing is sent.
         let before = world.script.arrivals.borrow().len();
@@ -182,7 +182,8 @@
         for id in ["t1", "t2", "t3", "t4", "t5"] {
             world.serve(id, 400).await;
         }
-        let marks = (0..4).flat_map(|s| ["a", "b"].map(|r| relays::mark(&format!("s{s}/{r}"))));
+        let marks =
+            (0..4).flat_map(|s| ["a", "b"].map(|r| relays::replica_hash(&format!("s{s}/{r}"))));
         let gather_request = wire::Gather {
             request_id: "r1".into(),
             method: "GET".to_owned(),
--- a/crates/router/tests/relays.rs
+++ b/crates/router/tests/relays.rs
@@ -33,8 +33,12 @@
     in_virtual_time(async {
         let world = World::new(route(2), 2);
         world.script.set("s0/a", Conduct::Silent);
-        let only =
-            vec![relays::mark("s0/a"), relays::NO_MARK, relays::mark("s1/b"), relays::NO_MARK];
+        let only = vec![
+            relays::replica_hash("s0/a"),
+            relays::NO_REPLICA_HASH,
+            relays::replica_hash("s1/b"),
+            relays::NO_REPLICA_HASH,
+        ];
         let answer = world.router.gather_for_peer(gather_request(&["s0", "s1"], only)).await;
         assert_eq!(answer.parts.len(), 1);
         assert!(answer.may_have_run);
@@ -54,8 +58,9 @@
         world.script.set("s1/a", Conduct::Silent);
         world.script.set("s1/b", Conduct::Silent);
         let services = ["s0", "s1", "s2"];
-        let both =
-            services.iter().flat_map(|s| ["a", "b"].map(|r| relays::mark(&format!("{s}/{r}"))));
+        let both = services
+            .iter()
+            .flat_map(|s| ["a", "b"].map(|r| relays::replica_hash(&format!("{s}/{r}"))));
         let started = tokio::time::Instant::now();
         let answer = world.router.gather_for_peer(gather_request(&services, both.collect())).await;
         assert!(started.elapsed().as_millis() <= 72, "{:?}", started.elapsed());
@@ -116,10 +121,10 @@
     in_virtual_time(async {
         let world = World::new(route(2), 2);
         world.script.set("s0/a", Conduct::Silent);
-        let both = ["s0/a", "s0/b", "s1/a", "s1/b"].map(relays::mark);
+        let both = ["s0/a", "s0/b", "s1/a", "s1/b"].map(relays::replica_hash);
         let answer =
             world.router.gather_for_peer(gather_request(&["s0", "s1"], both.to_vec())).await;
         assert_eq!(answer.parts.len(), 2);
-        assert_eq!(answer.slow, [relays::mark("s0/a")]);
+        assert_eq!(answer.slow, [relays::replica_hash("s0/a")]);
     });
 }
--- a/crates/router/tests/suspects.rs
+++ b/crates/router/tests/suspects.rs
@@ -13,7 +13,7 @@
 const DEADLINE_MS: u64 = 400;
 
 fn is_quarantined(outcome: &Outcome) -> bool {
-    matches!(outcome, Outcome::Refused(r) if r.reason == RefusalReason::EndsReplicas)
+    matches!(outcome, Outcome::Refused(r) if r.reason == RefusalReason::CrashesReplicas)
 }
 
 async fn serve(world: &World, what: &str, id: &str) -> Outcome {
@@ -40,7 +40,7 @@
         for attempt in 0..5 {
             let outcome = serve(&world, "ends", &format!("r{attempt}")).await;
             let Outcome::Refused(refusal) = outcome else { panic!("served") };
-            assert_eq!(refusal.reason, RefusalReason::EndsReplicas);
+            assert_eq!(refusal.reason, RefusalReason::CrashesReplicas);
             assert_eq!(refusal.verdict, Verdict::NotRun);
             assert!(refusal.retry_after_ms.is_some_and(|ms| ms > 60_000), "{refusal:?}");
         }
--- a/crates/standin/src/gossip_net.rs
+++ b/crates/standin/src/gossip_net.rs
@@ -7,7 +7,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use eelgrasspier_decide::membership::{
-    Datagram, ListedInstance, Member, Membership, OutgoingDatagram, State,
+    Datagram, InstanceState, ListedInstance, Member, Membership, OutgoingDatagram,
 };
 use eelgrasspier_decide::share::Agreement;
 use prost::Message;
@@ -142,7 +142,7 @@
     /// Removes one instance as in a planned stop.
     pub fn leave(&mut self, index: usize) {
         let random = self.next_random();
-        self.nodes[index].membership.update_own(|m| m.state = State::Left as i32);
+        self.nodes[index].membership.update_own(|m| m.state = InstanceState::Left as i32);
         let sends = self.nodes[index].membership.broadcast_own_record(16, 16, random);
         self.enqueue(index, sends);
         let node = self.nodes.remove(index);
@@ -194,7 +194,7 @@
         name: listed[number].name.clone(),
         incarnation: 1_764_700_000_000,
         revision: 1,
-        state: State::Ready as i32,
+        state: InstanceState::Ready as i32,
         zone: listed[number].zone.clone(),
         peer_addr: instance_addr(number).to_string(),
         http_addr: instance_addr(number).to_string(),
--- a/crates/standin/src/slopes.rs
+++ b/crates/standin/src/slopes.rs
@@ -4,10 +4,10 @@
 use std::time::Instant;
 
 use bpaf::Bpaf;
-use eelgrasspier_decide::hedge::Quantile;
-use eelgrasspier_decide::replica::{Candidate, Choice, Load, pick};
+use eelgrasspier_decide::hedge::LatencyQuantile;
+use eelgrasspier_decide::replica::{Candidate, ReplicaLoad, SelectionPolicy, select_replica};
 use eelgrasspier_decide::share;
-use eelgrasspier_decide::snapshot::{Catalogue, Held};
+use eelgrasspier_decide::snapshot::{HeldVersion, SnapshotCatalog};
 
 use crate::gossip_net::GossipNet;
 
@@ -94,33 +94,36 @@
 
 fn catalogue_us(shards: u32) -> u128 {
     const ROUNDS: u32 = 100;
-    let held = [Held { version: 7, shard_count: shards }, Held { version: 8, shard_count: shards }];
+    let held = [
+        HeldVersion { version: 7, shard_count: shards },
+        HeldVersion { version: 8, shard_count: shards },
+    ];
     let started = Instant::now();
     for _ in 0..ROUNDS {
-        let mut catalogue = Catalogue::default();
+        let mut catalogue = SnapshotCatalog::default();
         for shard in 0..shards {
             catalogue.add(shard, &held);
             catalogue.add(shard, &held);
         }
-        black_box(catalogue.choose(&[]));
+        black_box(catalogue.select(&[]));
     }
     started.elapsed().as_micros() / u128::from(ROUNDS)
 }
 
 fn part_ns() -> u128 {
     const ROUNDS: u32 = 1_000_000;
-    let mut loads = [Load::default(), Load::default()];
-    let mut quantile = Quantile::default();
+    let mut loads = [ReplicaLoad::default(), ReplicaLoad::default()];
+    let mut quantile = LatencyQuantile::default();
     let started = Instant::now();
     for round in 0..u64::from(ROUNDS) {
-        let candidate = |index: usize, load: &Load| Candidate {
+        let candidate = |index: usize, load: &ReplicaLoad| Candidate {
             index,
             cost_us: load.cost_us(2, round),
-            is_near: index == 0,
+            is_same_zone: index == 0,
         };
         let candidates = [candidate(0, &loads[0]), candidate(1, &loads[1])];
-        let picked = pick(&candidates, Choice::LeastCost, round).unwrap_or(0);
-        loads[picked].answered(1_000 + round % 7, Some(1), round);
+        let picked = select_replica(&candidates, SelectionPolicy::LeastCost, round).unwrap_or(0);
+        loads[picked].record_answer(1_000 + round % 7, Some(1), round);
         quantile.record(1_000 + round % 7);
         black_box(quantile.value_us(950));
     }
