--- a/crates/caller/src/request.rs
+++ b/crates/caller/src/request.rs
@@ -6,7 +6,7 @@
 use displaydoc::Display;
 use eelgrasspier_decide::claim::Key;
 use eelgrasspier_decide::prelude::{IndexVersion, Service, ShardId};
-use eelgrasspier_decide::text::is_valid_name;
+use eelgrasspier_decide::service_config::is_valid_name;
 
 /// Headers of callers' requests and of the answers to them.
 pub mod headers {
--- a/crates/decide/src/cold.rs
+++ b/crates/decide/src/cold_limit.rs
@@ -3,8 +3,8 @@
 //! A cold replica is slow and crashes if it gets too many requests per second. The limit applies to
 //! the whole fleet in every sliding second, even while instances cannot reach each other. Neither
 //! equal shares (most instances send nothing) nor a gossiped count would achieve this. So each cold
-//! replica has one keeper, which counts the requests to it; other instances ask the keeper for
-//! permission. While two instances both consider themselves the keeper, each uses at most half of
+//! replica has one coordinator, which counts the requests to it; other instances ask the coordinator for
+//! permission. While two instances both consider themselves the coordinator, each uses at most half of
 //! the limit.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -12,17 +12,17 @@
 
 /// Length of the sliding window, in milliseconds.
 const WINDOW_MS: u64 = 1_000;
-/// Time for which the keepers of a zone wait after a membership change, in milliseconds.
+/// Time for which the coordinators of a zone wait after a membership change, in milliseconds.
 ///
-/// By then the requests of the previous keeper have left the window, and other instances have
+/// By then the requests of the previous coordinator have left the window, and other instances have
 /// learned of the change.
 const SETTLE_DELAY_MS: u64 = 1_000;
 /// Time without messages after which an instance may be partitioned, in milliseconds.
 ///
-/// This is three probe rounds. Other instances then replace it, and it must not continue as keeper.
+/// This is three probe rounds. Other instances then replace it, and it must not continue as coordinator.
 const PARTITION_TIMEOUT_MS: u64 = 1_500;
-/// Maximum number of instances that consider themselves the keeper of one replica at a time.
-const MAX_KEEPERS: u64 = 2;
+/// Maximum number of instances that consider themselves the coordinator of one replica at a time.
+const MAX_COORDINATORS: u64 = 2;
 const MILLI: u64 = 1000;
 
 /// Tolerance above the rate limit of a cold replica, as set by the operators.
@@ -41,7 +41,7 @@
     }
 }
 
-/// Returns the requests per second that one keeper permits, or `None` if there is no limit.
+/// Returns the requests per second that one coordinator permits, or `None` if there is no limit.
 ///
 /// `rate_milli` is the rate limit of a cold replica, in thousandths of a request per second.
 #[must_use]
@@ -50,8 +50,8 @@
         return None;
     }
     let max_milli = rate_milli * bounds.rate_factor_milli / MILLI + bounds.slack * MILLI;
-    let share_milli = rate_milli.max(MILLI).min(max_milli / MAX_KEEPERS);
-    Some(usize::try_from(share_milli / MILLI).unwrap_or(usize::MAX))
+    let limit_milli = rate_milli.max(MILLI).min(max_milli / MAX_COORDINATORS);
+    Some(usize::try_from(limit_milli / MILLI).unwrap_or(usize::MAX))
 }
 
 /// Sliding windows of the requests that one instance permitted to each cold replica.
@@ -63,15 +63,15 @@
 impl SlidingWindows {
     /// Returns true if one more request may be sent to a replica.
     #[must_use]
-    pub fn has_room(&self, replica: &str, share: usize, now_ms: u64) -> bool {
+    pub fn has_room(&self, replica: &str, limit: usize, now_ms: u64) -> bool {
         let is_counted = |at_ms: &&u64| **at_ms + WINDOW_MS > now_ms;
         let sent = self.sent_at_ms.get(replica);
-        sent.map_or(0, |sent| sent.iter().filter(is_counted).count()) < share
+        sent.map_or(0, |sent| sent.iter().filter(is_counted).count()) < limit
     }
 
     /// Records one request to a replica; returns false if it may not be sent.
-    pub fn try_record(&mut self, replica: &Arc<str>, share: usize, now_ms: u64) -> bool {
-        if !self.has_room(replica, share, now_ms) {
+    pub fn try_record(&mut self, replica: &Arc<str>, limit: usize, now_ms: u64) -> bool {
+        if !self.has_room(replica, limit, now_ms) {
             return false;
         }
         let sent = self.sent_at_ms.entry(Arc::clone(replica)).or_default();
@@ -89,14 +89,14 @@
     }
 }
 
-/// Potential keepers of each zone and the time of their last change.
+/// Potential coordinators of each zone and the time of their last change.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CoordinatorStability {
     zones: BTreeMap<Arc<str>, (Vec<u64>, u64)>,
 }
 
 impl CoordinatorStability {
-    /// Updates the keys of the potential keepers of each zone, given in any order.
+    /// Updates the keys of the potential coordinators of each zone, given in any order.
     pub fn update(&mut self, mut keys: BTreeMap<Arc<str>, Vec<u64>>, now_ms: u64) {
         for zone in self.zones.keys() {
             keys.entry(Arc::clone(zone)).or_default();
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Returns true if the potential keepers have not changed for the settle delay.
+    /// Returns true if the potential coordinators have not changed for the settle delay.
     ///
     /// `zone` is `None` for all zones, whose instances stand in for a zone that has none.
     #[must_use]
@@ -120,7 +120,7 @@
     }
 }
 
-/// Returns true if an instance that last received a message at `last_received_ms` may be a keeper.
+/// Returns true if an instance that last received a message at `last_received_ms` may be a coordinator.
 ///
 /// `fleet` is the number of all instances, including those that it does not know: an instance that
 /// starts while partitioned knows no others, but is not alone.
--- a/crates/decide/src/connections.rs
+++ b/crates/decide/src/connections.rs
@@ -11,13 +11,13 @@
 ///
 /// They send it most of its requests, but it works on only a few at a time. With more connections,
 /// requests would queue here that another replica could serve sooner.
-const NEAR_PERCENT: u32 = 24;
+const SAME_ZONE_PERCENT: u32 = 24;
 /// Part of a replica's connections for all other instances, in percent.
 ///
 /// An instance needs two of them if its local replica is unreachable or slow. The remainder,
 /// including what rounding down leaves, is for instances that start while the connections of others
 /// that have just died still count.
-const FAR_PERCENT: u32 = 56;
+const OTHER_ZONE_PERCENT: u32 = 56;
 /// Divisor of the number of unknown instances that gives those assumed to be in one zone.
 const UNKNOWN_IN_ZONE_DIVISOR: u32 = 4;
 
@@ -63,7 +63,7 @@
         if is_same_zone {
             let instances =
                 same_zone_gatherers + 1 + unknown_instances.div_ceil(UNKNOWN_IN_ZONE_DIVISOR);
-            return Self { percent: NEAR_PERCENT, instances };
+            return Self { percent: SAME_ZONE_PERCENT, instances };
         }
         let instances = if has_delegating_instances {
             // In each zone one instance gathers the shard; the others send hardly anything.
@@ -71,6 +71,6 @@
         } else {
             other_zone_gatherers + 1 + unknown_instances
         };
-        Self { percent: FAR_PERCENT, instances }
+        Self { percent: OTHER_ZONE_PERCENT, instances }
     }
 }
--- a/crates/decide/src/evacuations.rs
+++ b/crates/decide/src/evacuations.rs
@@ -1,7 +1,7 @@
-//! Availability zones that are evacuated or were recently taken back into use.
+//! Availability zones that are evacuated or were recently returned to use.
 //!
 //! Operators evacuate a zone ahead of maintenance. Its replicas stay listed and look healthy, so
-//! only this state keeps requests away from them. When the zone is taken back, its replicas may
+//! only this state keeps requests away from them. When the zone is returned, its replicas may
 //! have become cold, and their entries show it only with the next report. Until then they count as
 //! cold for the duration of a warm-up.
 
@@ -17,12 +17,12 @@
     Returned(Arc<str>),
 }
 
-/// Evacuated zones, and zones that were taken back.
+/// Evacuated zones, and returned zones.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Evacuations {
     evacuated_zones: BTreeSet<Arc<str>>,
-    /// Time at which each zone was taken back, in milliseconds.
-    taken_back_at_ms: BTreeMap<Arc<str>, u64>,
+    /// Time at which each zone was returned, in milliseconds.
+    returned_at_ms: BTreeMap<Arc<str>, u64>,
 }
 
 impl Evacuations {
@@ -33,12 +33,12 @@
     pub fn apply(&mut self, change: ZoneChange, now_ms: u64) -> bool {
         match change {
             ZoneChange::Evacuated(zone) => {
-                self.taken_back_at_ms.remove(&zone);
+                self.returned_at_ms.remove(&zone);
                 self.evacuated_zones.insert(zone)
             }
             ZoneChange::Returned(zone) => {
                 self.evacuated_zones.remove(&zone);
-                self.taken_back_at_ms.insert(zone, now_ms).is_none()
+                self.returned_at_ms.insert(zone, now_ms).is_none()
             }
         }
     }
@@ -57,7 +57,7 @@
     /// Returns the time until which the zone's replicas count as cold, given a warm-up of
     /// `warm_up_ms`.
     #[must_use]
-    pub fn cold_until_ms(&self, zone: &str, warm_up_ms: u64) -> Option<u64> {
-        self.taken_back_at_ms.get(zone).map(|at_ms| at_ms + warm_up_ms)
+    pub fn warm_at_ms(&self, zone: &str, warm_up_ms: u64) -> Option<u64> {
+        self.returned_at_ms.get(zone).map(|at_ms| at_ms + warm_up_ms)
     }
 }
--- a/crates/decide/src/gossip.rs
+++ b/crates/decide/src/gossip.rs
@@ -122,7 +122,7 @@
     pub purpose: i32,
     /// Number of the probe that it belongs to.
     #[prost(uint64, tag = "2")]
-    pub probe: u64,
+    pub probe_number: u64,
     /// Name of the instance to be probed, for [`Purpose::ProbeFor`].
     #[prost(string, tag = "3")]
     pub target: String,
@@ -140,7 +140,7 @@
     pub bucket_digest: u64,
     /// Hybrid logical clock of the sender, which orders events over all processes.
     #[prost(uint64, tag = "8")]
-    pub stamp: u64,
+    pub clock_stamp: u64,
     /// Number of buckets into which the sender splits its records.
     #[prost(uint64, tag = "9")]
     pub buckets: u64,
--- a/crates/decide/src/losses.rs
+++ b/crates/decide/src/lost_sends.rs
@@ -57,7 +57,7 @@
     at_ms: u64,
     waiting: Vec<LostSend>,
     /// True if the server has crashed, false if it is running, `None` if not known yet.
-    has_ended: Option<bool>,
+    has_crashed: Option<bool>,
 }
 
 /// Backend servers with recently lost connections.
@@ -70,13 +70,13 @@
     /// Records a loss and returns the state of its server.
     pub fn record_loss(&mut self, server: u64, lost: LostSend, now_ms: u64) -> ServerState {
         self.by_server
-            .retain(|_, s| s.has_ended.is_none() || now_ms < s.at_ms + STATE_RETENTION_MS);
+            .retain(|_, s| s.has_crashed.is_none() || now_ms < s.at_ms + STATE_RETENTION_MS);
         let Some(server_losses) = self.by_server.get_mut(&server) else {
-            let first = ServerLosses { at_ms: now_ms, waiting: vec![lost], has_ended: None };
+            let first = ServerLosses { at_ms: now_ms, waiting: vec![lost], has_crashed: None };
             self.by_server.insert(server, first);
             return ServerState::Unknown;
         };
-        match server_losses.has_ended {
+        match server_losses.has_crashed {
             // Another send was lost in the same crash.
             Some(true) => {
                 let LostSend { request, send_id, .. } = lost;
@@ -96,15 +96,15 @@
     pub fn record_server_state(
         &mut self,
         server: u64,
-        has_ended: bool,
+        has_crashed: bool,
         now_ms: u64,
     ) -> Vec<CrashedSend> {
         let Some(server_losses) = self.by_server.get_mut(&server) else { return Vec::new() };
-        (server_losses.has_ended, server_losses.at_ms) = (Some(has_ended), now_ms);
+        (server_losses.has_crashed, server_losses.at_ms) = (Some(has_crashed), now_ms);
         let mut lost = std::mem::take(&mut server_losses.waiting);
         lost.sort_by_key(|l| (l.request, !l.is_trial));
         lost.dedup_by_key(|l| l.request);
-        lost.retain(|_| has_ended);
+        lost.retain(|_| has_crashed);
         let is_only = lost.len() == 1;
         let ended = |LostSend { request, send_id, is_trial }| CrashedSend {
             request,
--- a/crates/decide/src/membership/spread.rs
+++ b/crates/decide/src/membership/dissemination.rs
@@ -201,7 +201,7 @@
     }
 
     /// Builds a datagram with this instance's record, queued updates and the digest of one bucket.
-    pub(super) fn datagram(&mut self, purpose: Purpose, probe: u64) -> Datagram {
+    pub(super) fn datagram(&mut self, purpose: Purpose, probe_number: u64) -> Datagram {
         let mut members = vec![self.own.clone()];
         let (mut leaving, mut reports) = (Vec::new(), Vec::new());
         let now_ms = self.last_tick_ms;
@@ -222,7 +222,7 @@
         self.next_bucket = (self.next_bucket + 1) % buckets;
         Datagram {
             purpose: purpose as i32,
-            probe,
+            probe_number,
             members,
             leaving,
             bucket: self.next_bucket,
--- a/crates/decide/src/membership/mod.rs
+++ b/crates/decide/src/membership/mod.rs
@@ -10,9 +10,9 @@
 //! bucket of records compared per probe. The comparison repairs what a lost datagram carried
 //! without ever sending the whole table.
 
+mod dissemination;
 mod probe;
 mod reports;
-mod spread;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -293,7 +293,7 @@
             (_, Liveness::Dead) => self.changes.push(MembershipChange::DeclaredDead(name)),
             (_, Liveness::Suspect) => self.changes.push(MembershipChange::Suspected(name)),
             (_, Liveness::Alive) if was_dead_or_left => {
-                self.changes.push(MembershipChange::Joined(name))
+                self.changes.push(MembershipChange::Joined(name));
             }
             (_, Liveness::Alive) => {}
         }
--- a/crates/decide/src/membership/probe.rs
+++ b/crates/decide/src/membership/probe.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::spread::GOSSIP_INTERVAL_MS;
+use super::dissemination::GOSSIP_INTERVAL_MS;
 use super::{IndirectProbe, Membership, PeerRecord, Probe};
 use crate::gossip::{Datagram, Liveness, OutgoingDatagram, Purpose};
 use crate::rendezvous;
@@ -175,7 +175,7 @@
             return Vec::new();
         };
         let own_number = self.next_probe_number();
-        let requester_number = datagram.probe;
+        let requester_number = datagram.probe_number;
         self.indirect_probes.push(IndirectProbe {
             own_number,
             requester_number,
@@ -188,7 +188,7 @@
     pub(super) fn on_probe(&mut self, from: SocketAddr, probe: &Datagram) -> Vec<OutgoingDatagram> {
         let mut sends = vec![OutgoingDatagram {
             to: from,
-            datagram: self.datagram(Purpose::Answer, probe.probe),
+            datagram: self.datagram(Purpose::Answer, probe.probe_number),
         }];
         sends.extend(self.repair_bucket(from, probe));
         sends.extend(self.repair_reports(from, probe));
@@ -200,10 +200,11 @@
         from: SocketAddr,
         answer: &Datagram,
     ) -> Vec<OutgoingDatagram> {
-        if self.probe.as_ref().is_some_and(|p| p.number == answer.probe) {
+        if self.probe.as_ref().is_some_and(|p| p.number == answer.probe_number) {
             self.probe = None;
         }
-        let Some(at) = self.indirect_probes.iter().position(|e| e.own_number == answer.probe)
+        let Some(at) =
+            self.indirect_probes.iter().position(|e| e.own_number == answer.probe_number)
         else {
             return self.repair_reports(from, answer);
         };
--- a/crates/decide/src/membership/reports.rs
+++ b/crates/decide/src/membership/reports.rs
@@ -7,7 +7,7 @@
 
 use std::net::SocketAddr;
 
-use super::spread::MAX_UPDATES;
+use super::dissemination::MAX_UPDATES;
 use super::{Membership, Update};
 use crate::fingerprint::Fingerprint;
 use crate::gossip::{Datagram, MembershipChange, OutgoingDatagram, Purpose};
--- a/crates/decide/src/mirror.rs
+++ b/crates/decide/src/mirror.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 
-pub use crate::applied::{ApplyResult, Deviation, Effect};
+pub use crate::apply_result::{ApplyResult, Deviation, Effect};
 pub use crate::changes::{Changes, Deleted, Versioned};
 use crate::history::{Position, VersionStamp};
 
--- a/crates/decide/src/prelude.rs
+++ b/crates/decide/src/prelude.rs
@@ -1,6 +1,6 @@
 //! Common types, for glob import by the other packages.
 
-pub use crate::text::{ReplicaSpec, Service, Services};
+pub use crate::service_config::{ReplicaSpec, Service, Services};
 pub use crate::verdict::{Refusal, RefusalReason, Verdict};
 
 /// Version of the operators' configuration, as numbered by the platform.
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -14,7 +14,7 @@
 use std::collections::HashMap;
 
 use crate::fingerprint::Fingerprint;
-use crate::losses::CrashedSend;
+use crate::lost_sends::CrashedSend;
 use crate::rendezvous;
 
 /// Number of replica crashes after which a request is tried on one replica at a time.
--- a/crates/decide/src/homes.rs
+++ b/crates/decide/src/regions.rs
@@ -23,7 +23,8 @@
     /// region: a wrongly refused request can be repeated, but one sent to a foreign region cannot
     /// be undone.
     #[must_use]
-    pub fn is_home_zone(&self, homes: &[Arc<str>], zone: &str) -> bool {
-        homes.is_empty() || self.by_zone.get(zone).is_some_and(|region| homes.contains(region))
+    pub fn is_home_zone(&self, home_regions: &[Arc<str>], zone: &str) -> bool {
+        home_regions.is_empty()
+            || self.by_zone.get(zone).is_some_and(|region| home_regions.contains(region))
     }
 }
--- a/crates/decide/src/relays.rs
+++ b/crates/decide/src/relays.rs
@@ -40,8 +40,8 @@
 ) -> Vec<usize> {
     let mut order: Vec<usize> = (0..replicas.len()).collect();
     order.sort_by_key(|&i| {
-        let ReplicaLocation { id, zone: place, is_slow } = replicas[i];
-        (is_slow, place != zone, rendezvous::weight(request, rendezvous::hash(id)))
+        let ReplicaLocation { id, zone: replica_zone, is_slow } = replicas[i];
+        (is_slow, replica_zone != zone, rendezvous::weight(request, rendezvous::hash(id)))
     });
     order.truncate(attempts.max(1));
     order
--- a/crates/decide/src/replica.rs
+++ b/crates/decide/src/replica.rs
@@ -99,7 +99,7 @@
 pub struct Candidate {
     /// Position in the list of the calling code.
     pub index: usize,
-    /// Cost as returned by [`Load::cost_us`].
+    /// Cost as returned by [`ReplicaLoad::cost_us`].
     pub cost_us: u64,
     /// True if the replica is in this instance's availability zone.
     pub is_same_zone: bool,
--- a/crates/decide/src/standing.rs
+++ b/crates/decide/src/replica_stats.rs
@@ -199,10 +199,10 @@
     /// Applies a report from another instance.
     ///
     /// An instance that delegates a shard to another instance sends nothing to its replicas itself.
-    pub fn apply_report(&mut self, told: ReplicaReport, now_ms: u64) {
-        self.record_reported_load(told.load, now_ms);
-        if told.ratio > self.ratio(now_ms) {
-            self.ratio = told.ratio.min(MAX_LATENCY_RATIO);
+    pub fn apply_report(&mut self, report: ReplicaReport, now_ms: u64) {
+        self.record_reported_load(report.load, now_ms);
+        if report.ratio > self.ratio(now_ms) {
+            self.ratio = report.ratio.min(MAX_LATENCY_RATIO);
             self.ratio_at_ms = now_ms;
         }
     }
--- a/crates/decide/src/text.rs
+++ b/crates/decide/src/service_config.rs
@@ -10,9 +10,9 @@
 use ini::{Ini, Properties};
 
 use crate::prelude::ShardId;
-use crate::problem::{Lines, first_line};
-pub use crate::problem::{ProblemKind, TextError, TextErrors};
 use crate::rendezvous;
+use crate::text_error::{Lines, first_line};
+pub use crate::text_error::{ProblemKind, TextError, TextErrors};
 
 /// Maximum size of the text in bytes; the platform stores up to 1 MB.
 pub const MAX_TEXT_BYTES: usize = 900 * 1024;
--- a/crates/decide/src/holders.rs
+++ b/crates/decide/src/slice_peers.rs
@@ -16,7 +16,7 @@
 /// If none is ready, a starting one is asked: it may have become ready by now, and otherwise
 /// replies at once that it has no connection yet.
 #[must_use]
-pub fn pick_peer(holders: &[SlicePeer], random: u64) -> Option<u64> {
-    let priority = |holder: &&SlicePeer| (holder.is_ready, rendezvous::weight(random, holder.key));
-    holders.iter().max_by_key(priority).map(|holder| holder.key)
+pub fn pick_peer(peers: &[SlicePeer], random: u64) -> Option<u64> {
+    let priority = |peer: &&SlicePeer| (peer.is_ready, rendezvous::weight(random, peer.key));
+    peers.iter().max_by_key(priority).map(|peer| peer.key)
 }
--- a/crates/decide/src/outage.rs
+++ b/crates/decide/src/store_backoff.rs
@@ -18,9 +18,9 @@
 ///
 /// Only long backoffs are scaled, since most failures are brief.
 #[must_use]
-pub fn scaled_backoff_ms(pause_ms: u64, instances: u64) -> u64 {
-    if pause_ms < MAX_BACKOFF_MS / 2 {
-        return pause_ms;
+pub fn scaled_backoff_ms(backoff_ms: u64, instances: u64) -> u64 {
+    if backoff_ms < MAX_BACKOFF_MS / 2 {
+        return backoff_ms;
     }
-    pause_ms * (instances / INSTANCES_PER_MULTIPLE).clamp(1, MAX_MULTIPLE)
+    backoff_ms * (instances / INSTANCES_PER_MULTIPLE).clamp(1, MAX_MULTIPLE)
 }
--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold_limit.rs
@@ -3,16 +3,16 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use eelgrasspier_decide::cold::{
+use eelgrasspier_decide::cold_limit::{
     ColdTolerance, CoordinatorStability, SlidingWindows, coordinator_limit, is_connected,
 };
 
 const BOUNDS: ColdTolerance = ColdTolerance { rate_factor_milli: 1_500, slack: 5 };
 
 #[test]
-fn a_keeper_permits_the_rate_but_at_most_half_of_the_limit() {
+fn a_coordinator_permits_the_rate_but_at_most_half_of_the_limit() {
     assert_eq!(coordinator_limit(4_000, BOUNDS), Some(4));
-    // 20 x 1.5 + 5 = 35 for two keepers.
+    // 20 x 1.5 + 5 = 35 for two coordinators.
     assert_eq!(coordinator_limit(20_000, BOUNDS), Some(17));
     assert_eq!(
         coordinator_limit(500, BOUNDS),
@@ -30,7 +30,7 @@
 /// Guards against counting in fixed instead of sliding seconds, where requests at the end of one
 /// second and at the start of the next give a cold replica twice its limit.
 #[test]
-fn no_sliding_second_has_more_than_the_share() {
+fn no_sliding_second_has_more_than_the_limit() {
     arbtest::arbtest(|u| {
         let mut windows = SlidingWindows::default();
         let replica: Arc<str> = "r".into();
@@ -56,27 +56,27 @@
     zones.iter().map(|(zone, keys)| ((*zone).into(), keys.to_vec())).collect()
 }
 
-/// Guards against keepers that do not wait until the requests of others have left the window. A
-/// keeper was killed and restarted while another had replaced it, and the replica got the share of
+/// Guards against coordinators that do not wait until the requests of others have left the window. A
+/// coordinator was killed and restarted while another had replaced it, and the replica got the share of
 /// three instances within a second.
 #[test]
-fn keepers_wait_after_each_membership_change() {
-    let mut settled = CoordinatorStability::default();
-    settled.update(keys(&[("a", &[1, 2]), ("b", &[3])]), 0);
-    assert!(!settled.is_stable(Some("a"), 999));
-    assert!(settled.is_stable(Some("a"), 1_000));
-    settled.update(keys(&[("a", &[2, 1]), ("b", &[3])]), 2_000);
-    assert!(settled.is_stable(Some("a"), 2_001), "the same keys in another order");
-    settled.update(keys(&[("a", &[1]), ("b", &[3])]), 3_000);
-    assert!(!settled.is_stable(Some("a"), 3_999));
-    assert!(settled.is_stable(Some("b"), 3_999), "zone b is unchanged");
+fn coordinators_wait_after_each_membership_change() {
+    let mut stability = CoordinatorStability::default();
+    stability.update(keys(&[("a", &[1, 2]), ("b", &[3])]), 0);
+    assert!(!stability.is_stable(Some("a"), 999));
+    assert!(stability.is_stable(Some("a"), 1_000));
+    stability.update(keys(&[("a", &[2, 1]), ("b", &[3])]), 2_000);
+    assert!(stability.is_stable(Some("a"), 2_001), "the same keys in another order");
+    stability.update(keys(&[("a", &[1]), ("b", &[3])]), 3_000);
+    assert!(!stability.is_stable(Some("a"), 3_999));
+    assert!(stability.is_stable(Some("b"), 3_999), "zone b is unchanged");
     // All instances of the zone are unreachable, and those of other zones stand in.
-    settled.update(keys(&[("b", &[3])]), 5_000);
-    assert!(!settled.is_stable(None, 5_999));
-    assert!(settled.is_stable(None, 6_000));
+    stability.update(keys(&[("b", &[3])]), 5_000);
+    assert!(!stability.is_stable(None, 5_999));
+    assert!(stability.is_stable(None, 6_000));
 }
 
-/// Guards against a partitioned instance that continues as keeper while another has replaced it.
+/// Guards against a partitioned instance that continues as coordinator while another has replaced it.
 #[test]
 fn a_partitioned_instance_permits_nothing() {
     assert!(is_connected(78, Some(10_000), 11_499));
--- a/crates/decide/tests/evacuations.rs
+++ b/crates/decide/tests/evacuations.rs
@@ -28,11 +28,11 @@
 fn a_zone_that_was_taken_back_is_cold_for_the_warm_up_time() {
     let mut zones = Evacuations::default();
     zones.apply(evacuated("a"), 0);
-    assert_eq!(zones.cold_until_ms("a", 3_000), None);
+    assert_eq!(zones.warm_at_ms("a", 3_000), None);
     zones.apply(taken_back("a"), 5_000);
-    assert_eq!(zones.cold_until_ms("a", 3_000), Some(8_000));
+    assert_eq!(zones.warm_at_ms("a", 3_000), Some(8_000));
     zones.apply(evacuated("a"), 6_000);
-    assert_eq!(zones.cold_until_ms("a", 3_000), None, "an evacuated zone gets no requests");
+    assert_eq!(zones.warm_at_ms("a", 3_000), None, "an evacuated zone gets no requests");
 }
 
 /// An instance that starts after an evacuation learns of its end from another instance.
@@ -40,5 +40,5 @@
 fn the_end_of_an_unknown_evacuation_counts() {
     let mut zones = Evacuations::default();
     assert!(zones.apply(taken_back("a"), 100));
-    assert_eq!(zones.cold_until_ms("a", 500), Some(600));
+    assert_eq!(zones.warm_at_ms("a", 500), Some(600));
 }
--- a/crates/decide/tests/transit.rs
+++ b/crates/decide/tests/excess_delay.rs
@@ -1,40 +1,40 @@
 //! Excess delay of requests, measured with differing clocks.
 
-use eelgrasspier_decide::transit::DelayEstimator;
+use eelgrasspier_decide::excess_delay::DelayEstimator;
 
 /// Guards against passing 2,987 ms to replicas for a request whose caller had 145 ms left. An
 /// instance was frozen for 1.5 s and then answered the requests received in the meantime, each with
 /// the remaining time as of when it was sent.
 #[test]
 fn requests_queued_during_a_freeze_are_late_by_its_duration() {
-    let mut transit = DelayEstimator::default();
+    let mut estimator = DelayEstimator::default();
     // The sender's clock is 70 s ahead; the normal delay is 2 ms.
     for sent_ms in [80_000, 80_300, 80_700] {
-        assert_eq!(transit.excess_delay_ms(sent_ms, sent_ms - 70_000 + 2), 0);
+        assert_eq!(estimator.excess_delay_ms(sent_ms, sent_ms - 70_000 + 2), 0);
     }
     let resumed_ms = 12_500;
-    assert_eq!(transit.excess_delay_ms(81_000, resumed_ms), 1_498);
-    assert_eq!(transit.excess_delay_ms(82_400, resumed_ms), 98);
+    assert_eq!(estimator.excess_delay_ms(81_000, resumed_ms), 1_498);
+    assert_eq!(estimator.excess_delay_ms(82_400, resumed_ms), 98);
     // The next request has the normal delay again.
-    assert_eq!(transit.excess_delay_ms(82_600, 12_602), 0);
+    assert_eq!(estimator.excess_delay_ms(82_600, 12_602), 0);
 }
 
 #[test]
 fn a_shorter_delay_becomes_the_baseline() {
-    let mut transit = DelayEstimator::default();
-    assert_eq!(transit.excess_delay_ms(1_000, 5_040), 0);
-    assert_eq!(transit.excess_delay_ms(2_000, 6_002), 0);
-    assert_eq!(transit.excess_delay_ms(3_000, 7_040), 38);
+    let mut estimator = DelayEstimator::default();
+    assert_eq!(estimator.excess_delay_ms(1_000, 5_040), 0);
+    assert_eq!(estimator.excess_delay_ms(2_000, 6_002), 0);
+    assert_eq!(estimator.excess_delay_ms(3_000, 7_040), 38);
 }
 
 #[test]
 fn clock_drift_is_not_counted_as_delay() {
-    let mut transit = DelayEstimator::default();
+    let mut estimator = DelayEstimator::default();
     let mut late_ms = 0;
     for second in 1..36_000_u64 {
         let sent_ms = second * 1_000;
         // 50 ppm.
-        late_ms = late_ms.max(transit.excess_delay_ms(sent_ms, sent_ms + sent_ms / 20_000));
+        late_ms = late_ms.max(estimator.excess_delay_ms(sent_ms, sent_ms + sent_ms / 20_000));
     }
     assert!(late_ms <= 1, "{late_ms}");
 }
--- a/crates/decide/tests/spreading.rs
+++ b/crates/decide/tests/gossip_targets.rs
@@ -42,7 +42,11 @@
     for step in 1..=60_000 / TICK_MS {
         let now_ms = step * TICK_MS;
         for send in own.tick(now_ms, step.wrapping_mul(0x9e37_79b9_7f4a_7c15)) {
-            let answer = Datagram { purpose: 1, probe: send.datagram.probe, ..Datagram::default() };
+            let answer = Datagram {
+                purpose: 1,
+                probe_number: send.datagram.probe_number,
+                ..Datagram::default()
+            };
             own.receive(now_ms, send.to, &answer);
             sent.push(send);
         }
--- a/crates/decide/tests/invariants.rs
+++ b/crates/decide/tests/invariants.rs
@@ -3,13 +3,13 @@
 use std::collections::BTreeSet;
 
 use arbtest::arbtest;
-use eelgrasspier_decide::budget::TokenBucket;
 use eelgrasspier_decide::claim::{Bucket, BucketChange, ClaimResult, Key};
 use eelgrasspier_decide::hedge::LatencyQuantile;
 use eelgrasspier_decide::prelude::Services;
 use eelgrasspier_decide::replica::{Candidate, SelectionPolicy, select_replica};
 use eelgrasspier_decide::share;
 use eelgrasspier_decide::snapshot::{HeldVersion, SnapshotCatalog};
+use eelgrasspier_decide::token_bucket::TokenBucket;
 
 /// For any members and limit, the shares of one replica never exceed the limit, and if there are
 /// enough connections every member gets one.
@@ -77,7 +77,7 @@
 #[test]
 fn the_newest_complete_snapshot_is_selected() {
     arbtest(|u| {
-        let mut catalogue = SnapshotCatalog::default();
+        let mut catalog = SnapshotCatalog::default();
         let mut reports = Vec::new();
         for _ in 0..u.int_in_range(0..=12)? {
             let shard = u.int_in_range(0..=3)?;
@@ -85,7 +85,7 @@
                 version: u.int_in_range(1..=3)?,
                 shard_count: u.int_in_range(1..=4)?,
             };
-            catalogue.add(shard, &[held]);
+            catalog.add(shard, &[held]);
             reports.push((shard, held));
         }
         let is_complete = |held: &HeldVersion| {
@@ -93,7 +93,7 @@
         };
         let complete: Vec<u64> =
             reports.iter().filter(|(_, h)| is_complete(h)).map(|(_, h)| h.version).collect();
-        let chosen = catalogue.select(&[]);
+        let chosen = catalog.select(&[]);
         match complete.iter().max() {
             Some(&newest) => {
                 let chosen = chosen.expect("a complete snapshot exists");
--- a/crates/decide/tests/merging.rs
+++ b/crates/decide/tests/merge.rs
@@ -2,7 +2,7 @@
 
 use arbtest::arbtest;
 use eelgrasspier_decide::merge::{RECORD_BYTES, TopRecords};
-use eelgrasspier_decide::patience::{GatherState, WaitDecision, delivery_margin_ms};
+use eelgrasspier_decide::wait_policy::{GatherState, WaitDecision, delivery_margin_ms};
 
 /// Reference implementation that sorts all records.
 fn merge_by_sorting(parts: &[Vec<u8>], max_records: usize) -> Vec<u8> {
--- a/crates/decide/tests/plan.rs
+++ b/crates/decide/tests/plan.rs
@@ -1,7 +1,7 @@
 //! Selection of the shards that a request leaves out, and refusal of whole requests.
 
 use eelgrasspier_decide::admission::{Plan, divide_allowed_misses, plan, plan_group};
-use eelgrasspier_decide::patience;
+use eelgrasspier_decide::wait_policy;
 
 const LEFT_MS: f64 = 180.0;
 
@@ -42,10 +42,10 @@
 /// since it was late anyway.
 #[test]
 fn a_late_retry_gets_the_full_target_latency() {
-    assert_eq!(patience::effective_target_ms(200, 0), 200);
-    assert_eq!(patience::effective_target_ms(200, 60), 140);
-    assert_eq!(patience::effective_target_ms(200, 140), 200);
-    assert_eq!(patience::effective_target_ms(200, 900), 200);
+    assert_eq!(wait_policy::effective_target_ms(200, 0), 200);
+    assert_eq!(wait_policy::effective_target_ms(200, 60), 140);
+    assert_eq!(wait_policy::effective_target_ms(200, 140), 200);
+    assert_eq!(wait_policy::effective_target_ms(200, 900), 200);
 }
 
 /// Guards against giving the whole allowance for missed shards to each relaying instance. Of a
--- a/crates/decide/tests/pulls.rs
+++ b/crates/decide/tests/pulls.rs
@@ -1,7 +1,7 @@
 //! Pulls of changes from other instances, and backoff when the store does not answer.
 
-use eelgrasspier_decide::outage::{MAX_BACKOFF_MS, MIN_BACKOFF_MS, scaled_backoff_ms};
 use eelgrasspier_decide::pulls::{ConcurrentPulls, HEDGE_AFTER_MS, PULL_TIMEOUT_MS};
+use eelgrasspier_decide::store_backoff::{MAX_BACKOFF_MS, MIN_BACKOFF_MS, scaled_backoff_ms};
 
 /// Guards against a large configuration that never comes into force on some instances. Their
 /// callers were refused with an unknown route. Twenty instances pulled 1,800 routes from one over a
--- a/crates/decide/tests/quarantine.rs
+++ b/crates/decide/tests/quarantine.rs
@@ -5,7 +5,7 @@
 //! it because only the crash of their replica is remembered.
 
 use eelgrasspier_decide::fingerprint::Fingerprint;
-use eelgrasspier_decide::losses::{CrashedSend, LostSend, LostSends, ServerState};
+use eelgrasspier_decide::lost_sends::{CrashedSend, LostSend, LostSends, ServerState};
 use eelgrasspier_decide::quarantine::{EvidenceEffect, Quarantine, Report, Treatment};
 use prost::Message;
 
--- a/crates/decide/tests/standing.rs
+++ b/crates/decide/tests/replica_stats.rs
@@ -1,6 +1,6 @@
 //! State kept about a replica, and its decay.
 
-use eelgrasspier_decide::standing::{ReplicaReport, ReplicaStats};
+use eelgrasspier_decide::replica_stats::{ReplicaReport, ReplicaStats};
 
 const SLOTS: u32 = 2;
 
--- a/crates/decide/tests/telling.rs
+++ b/crates/decide/tests/report_exchange.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use eelgrasspier_decide::fingerprint::Fingerprint;
-use eelgrasspier_decide::losses::CrashedSend;
+use eelgrasspier_decide::lost_sends::CrashedSend;
 use eelgrasspier_decide::membership::{InstanceState, Member, Membership, OutgoingDatagram};
 use eelgrasspier_decide::quarantine::{Quarantine, Report};
 
--- a/crates/decide/tests/restored_copies.rs
+++ b/crates/decide/tests/restored_mirrors.rs
@@ -1,12 +1,12 @@
 //! Property tests: mirrors converge to a store that is restored from a backup.
 
-mod copies;
+mod mirrors;
 
 use arbtest::arbitrary::{self, Unstructured};
 use eelgrasspier_decide::history::Position;
 use eelgrasspier_decide::mirror::{Changes, Deleted, Mirror, Retention, Versioned};
 
-use copies::{WITHHOLD_MS, full_list, new_mirror, object, replica_mirror};
+use mirrors::{WITHHOLD_MS, full_list, new_mirror, object, replica_mirror};
 
 /// Checks that any sequence of writes, restores and exchanges ends in the state of the store.
 ///
--- a/crates/decide/tests/allowance.rs
+++ b/crates/decide/tests/retry_budget.rs
@@ -1,6 +1,6 @@
 //! Retry budget over several instances and over restarts.
 
-use eelgrasspier_decide::allowance::{RetryBudget, RetryLimits};
+use eelgrasspier_decide::retry_budget::{RetryBudget, RetryLimits};
 
 const LIMITS: RetryLimits = RetryLimits { ratio_milli: 200, slack: 54, window_ms: 10_000 };
 
@@ -66,7 +66,7 @@
 /// 18 of 195 instances gather and send nearly all retries.
 #[test]
 fn gatherers_share_most_of_the_slack_and_all_parts_together_fit() {
-    use eelgrasspier_decide::allowance::slack_divisor;
+    use eelgrasspier_decide::retry_budget::slack_divisor;
     let (gathering, other) = (slack_divisor(195, 17, true), slack_divisor(195, 18, false));
     assert!(gathering < 25, "{gathering}");
     // 18 / gathering + 177 / other is at most one.
--- a/crates/decide/tests/duties.rs
+++ b/crates/decide/tests/roles.rs
@@ -4,7 +4,7 @@
 
 use eelgrasspier_decide::membership::{Datagram, Member, Membership};
 use eelgrasspier_decide::relays::{self, MIN_GROUP_SHARDS, ReplicaLocation};
-use eelgrasspier_decide::{contacts, gatherers, rendezvous, watchers};
+use eelgrasspier_decide::{gatherers, rendezvous, store_contacts, watchers};
 
 fn fleet(zones: u64, in_zone: u64) -> Vec<watchers::Candidate> {
     let all = (0..zones * in_zone).map(|n| watchers::Candidate {
@@ -86,7 +86,7 @@
         let fleet = fleet(zones, in_zone);
         let is_contact = |i: usize| {
             let (before, after) = fleet.split_at(i);
-            contacts::is_contact(fleet[i], &[before, &after[1..]].concat())
+            store_contacts::is_contact(fleet[i], &[before, &after[1..]].concat())
         };
         assert_eq!((0..fleet.len()).filter(|&i| is_contact(i)).count(), wanted);
     }
@@ -94,10 +94,10 @@
 
 #[test]
 fn contact_entry_is_rewritten_only_after_a_large_size_change() {
-    assert!(!contacts::must_rewrite(195, 180));
-    assert!(!contacts::must_rewrite(8, 9));
-    assert!(contacts::must_rewrite(60, 195));
-    assert!(contacts::must_rewrite(195, 100));
+    assert!(!store_contacts::must_rewrite(195, 180));
+    assert!(!store_contacts::must_rewrite(8, 9));
+    assert!(store_contacts::must_rewrite(60, 195));
+    assert!(store_contacts::must_rewrite(195, 100));
 }
 
 /// Guards against a selection that ignores which instances the store serves. When the store refused
@@ -235,17 +235,17 @@
 /// The selecting instance did not know the slow replicas that the sending one knew.
 #[test]
 fn slow_replicas_are_selected_last() {
-    let place = |id, zone, is_slow| ReplicaLocation { id, zone, is_slow };
+    let location = |id, zone, is_slow| ReplicaLocation { id, zone, is_slow };
     let selected =
         |places: &[ReplicaLocation<'_>], request| relays::select_replicas(places, "b", 2, request);
     for request in 0..100 {
         let same_zone_slow =
-            [place("r1", "a", false), place("r2", "b", true), place("r3", "c", false)];
+            [location("r1", "a", false), location("r2", "b", true), location("r3", "c", false)];
         let mut both = selected(&same_zone_slow, request);
         both.sort_unstable();
         assert_eq!(both, [0, 2]);
         let other_zone_slow =
-            [place("r1", "a", true), place("r2", "b", false), place("r3", "c", false)];
+            [location("r1", "a", true), location("r2", "b", false), location("r3", "c", false)];
         assert_eq!(selected(&other_zone_slow, request), [1, 2]);
         let all_slow = same_zone_slow.map(|p| ReplicaLocation { is_slow: true, ..p });
         assert_eq!(selected(&all_slow, request)[0], 1);
--- a/crates/decide/tests/routes.rs
+++ b/crates/decide/tests/routes.rs
@@ -50,10 +50,10 @@
 fn a_split_stays_within_one_request_of_its_weights() {
     let split = [("a", 5.0), ("b", 3.0), ("c", 2.0), ("none", 0.0)]
         .map(|(service, weight)| WeightedService { service: service.into(), weight });
-    let mut dealer = WeightedRoundRobin::default();
+    let mut round_robin = WeightedRoundRobin::default();
     let mut counts: HashMap<String, f64> = HashMap::new();
     for turn in 1..=1000 {
-        let service = dealer.next_service(&split).unwrap();
+        let service = round_robin.next_service(&split).unwrap();
         *counts.entry(service.to_string()).or_default() += 1.0;
         for part in &split[..3] {
             let expected = f64::from(turn) * part.weight / 10.0;
@@ -66,12 +66,12 @@
 
 #[test]
 fn minimum_coverage_is_rounded_up_without_rounding_errors() {
-    let with_least_share =
-        |least_share| Route { min_coverage: least_share, ..(*route("r", "h", "/")).clone() };
-    assert_eq!(with_least_share(0.89).min_shards(20), 18);
-    assert_eq!(with_least_share(0.75).min_shards(20), 15);
-    assert_eq!(with_least_share(0.95).min_shards(90), 86);
-    assert_eq!(with_least_share(0.9).min_shards(10), 9);
-    assert_eq!(with_least_share(0.0).min_shards(10), 1);
-    assert_eq!(with_least_share(1.0).min_shards(30), 30);
+    let with_min_coverage =
+        |min_coverage| Route { min_coverage, ..(*route("r", "h", "/")).clone() };
+    assert_eq!(with_min_coverage(0.89).min_shards(20), 18);
+    assert_eq!(with_min_coverage(0.75).min_shards(20), 15);
+    assert_eq!(with_min_coverage(0.95).min_shards(90), 86);
+    assert_eq!(with_min_coverage(0.9).min_shards(10), 9);
+    assert_eq!(with_min_coverage(0.0).min_shards(10), 1);
+    assert_eq!(with_min_coverage(1.0).min_shards(30), 30);
 }
--- a/crates/decide/tests/text.rs
+++ b/crates/decide/tests/service_config.rs
@@ -75,7 +75,7 @@
 fn the_examples_are_valid() {
     let sizes = |text: &str| -> Vec<(String, usize, usize)> {
         let services = Services::try_from(text).unwrap_or_else(|e| panic!("{e}"));
-        let size = |s: &std::sync::Arc<eelgrasspier_decide::text::Service>| {
+        let size = |s: &std::sync::Arc<eelgrasspier_decide::service_config::Service>| {
             (s.name.clone(), s.shards.len(), s.shards[0].len())
         };
         services.by_name.values().map(size).collect()
--- a/crates/decide/tests/history.rs
+++ b/crates/decide/tests/store_restores.rs
@@ -1,6 +1,6 @@
 //! Ordering of changes and the mirror across restores of the store from a backup.
 
-mod copies;
+mod mirrors;
 
 use bytes::Bytes;
 use eelgrasspier_decide::history::{EraComparison, EraTracker, Position};
@@ -8,7 +8,7 @@
     Changes, Deleted, Deviation, Effect, Mirror, Retention, Versioned,
 };
 
-use copies::{RETENTION_MS, WITHHOLD_MS, full_list, new_mirror, object, replica_mirror};
+use mirrors::{RETENTION_MS, WITHHOLD_MS, full_list, new_mirror, object, replica_mirror};
 
 fn events((era, as_of): (u64, u64), objects: Vec<Versioned>) -> Changes {
     Changes { as_of, objects, ..Changes::default() }.with_era(era)
--- a/crates/eelgrasspier/src/control/members.rs
+++ b/crates/eelgrasspier/src/control/members.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use eelgrasspier_decide::leaving::ServerIncarnation;
+use eelgrasspier_decide::draining::ServerIncarnation;
 use eelgrasspier_decide::membership::{
     Datagram, InstanceState, LeavingServer, ListedInstance, MembershipChange, OutgoingDatagram,
 };
@@ -36,7 +36,7 @@
 ) {
     while let Some((datagram, from)) = received.next().await {
         control.check_pause();
-        control.shared.timeline.clock().observe(datagram.stamp);
+        control.shared.timeline.clock().observe(datagram.clock_stamp);
         let now_ms = control.shared.now_ms();
         let sends = control.membership.borrow_mut().receive(now_ms, from, &datagram);
         control.send(sends);
@@ -91,7 +91,7 @@
 
     fn send(&self, sends: Vec<OutgoingDatagram>) {
         for mut send in sends {
-            send.datagram.stamp = self.shared.timeline.clock().stamp();
+            send.datagram.clock_stamp = self.shared.timeline.clock().stamp();
             drop(self.outbox.send(send));
         }
     }
@@ -125,13 +125,10 @@
             MembershipChange::DeclaredDead(name) => self.record(event::MEMBER_DEAD, &name, ""),
             MembershipChange::Left(name) => self.record(event::MEMBER_LEFT, &name, ""),
             MembershipChange::Refuted => {
-                self.record(event::REFUTED, &self.shared.settings.name, "")
+                self.record(event::REFUTED, &self.shared.settings.name, "");
             }
-            MembershipChange::ServerLeaving(LeavingServer {
-                address_hash: replica,
-                incarnation,
-            }) => {
-                self.on_server_leaving(ServerIncarnation { address_hash: replica, incarnation });
+            MembershipChange::ServerLeaving(LeavingServer { address_hash, incarnation }) => {
+                self.on_server_leaving(ServerIncarnation { address_hash, incarnation });
             }
         }
     }
@@ -182,10 +179,10 @@
         if !is_new {
             return;
         }
-        let ServerIncarnation { address_hash: replica, incarnation } = server;
-        let announcement = LeavingServer { address_hash: replica, incarnation };
+        let ServerIncarnation { address_hash, incarnation } = server;
+        let announcement = LeavingServer { address_hash, incarnation };
         self.membership.borrow_mut().announce_server_leaving(announcement);
-        self.record(event::SERVER_LEAVING, &self.server_name(replica), "");
+        self.record(event::SERVER_LEAVING, &self.server_name(address_hash), "");
         self.publish();
     }
 
--- a/crates/eelgrasspier/src/control/mod.rs
+++ b/crates/eelgrasspier/src/control/mod.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use eelgrasspier_decide::config::ConfigInForce;
-use eelgrasspier_decide::leaving::DrainingServers;
+use eelgrasspier_decide::draining::DrainingServers;
 use eelgrasspier_decide::membership::{InstanceState, Member, Membership, OutgoingDatagram};
 use eelgrasspier_decide::prelude::Services;
 use eelgrasspier_decide::quarantine::Report;
--- a/crates/eelgrasspier/src/crash_tracker.rs
+++ b/crates/eelgrasspier/src/crash_tracker.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use eelgrasspier_decide::fingerprint::Fingerprint;
-use eelgrasspier_decide::losses::{LostSend, ServerState};
+use eelgrasspier_decide::lost_sends::{LostSend, ServerState};
 use eelgrasspier_decide::quarantine::Treatment;
 use eelgrasspier_decide::relays;
 
--- a/crates/eelgrasspier/src/forward.rs
+++ b/crates/eelgrasspier/src/forward.rs
@@ -10,10 +10,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use eelgrasspier_decide::holders::{self, SlicePeer};
 use eelgrasspier_decide::prelude::ShardId;
 use eelgrasspier_decide::quarantine::Treatment;
 use eelgrasspier_decide::rendezvous;
+use eelgrasspier_decide::slice_peers::{self, SlicePeer};
 use eelgrasspier_decide::snapshot::Snapshot;
 use eelgrasspier_peer::wire::{Body, Missed, Part, Parts, PartsDone};
 use tokio::sync::mpsc;
@@ -76,7 +76,7 @@
     let candidates = view.peers.iter().filter(|peer| has_connections_to(peer.key));
     let candidates: Vec<SlicePeer> =
         candidates.map(|peer| SlicePeer { key: peer.key, is_ready: peer.is_ready }).collect();
-    let chosen_key = holders::pick_peer(&candidates, rand::random())?;
+    let chosen_key = slice_peers::pick_peer(&candidates, rand::random())?;
     view.peers.iter().find(|peer| peer.key == chosen_key).map(|peer| peer.addr)
 }
 
--- a/crates/eelgrasspier/src/quarantine.rs
+++ b/crates/eelgrasspier/src/quarantine.rs
@@ -3,7 +3,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use eelgrasspier_decide::fingerprint::Fingerprint;
-use eelgrasspier_decide::losses::{CrashedSend, LostSend, LostSends, ServerState};
+use eelgrasspier_decide::lost_sends::{CrashedSend, LostSend, LostSends, ServerState};
 use eelgrasspier_decide::quarantine::{EvidenceEffect, Quarantine, Report, Treatment};
 
 use crate::event;
--- a/crates/eelgrasspier/src/replica.rs
+++ b/crates/eelgrasspier/src/replica.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 
 use eelgrasspier_backend::Report;
-use eelgrasspier_decide::leaving::{DrainingServers, ServerIncarnation};
+use eelgrasspier_decide::draining::{DrainingServers, ServerIncarnation};
 use eelgrasspier_decide::replica::ReplicaLoad;
+use eelgrasspier_decide::service_config::ReplicaSpec;
 use eelgrasspier_decide::snapshot::HeldVersion;
-use eelgrasspier_decide::text::ReplicaSpec;
 use tokio::sync::Notify;
 
 /// Number of consecutive failed contacts after which a replica counts as down.
--- a/crates/eelgrasspier/src/service.rs
+++ b/crates/eelgrasspier/src/service.rs
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 
 use eelgrasspier_decide::admission::{Completion, Decision, Gate, LoadSignal, Resolution, Ticket};
-use eelgrasspier_decide::budget::TokenBucket;
+use eelgrasspier_decide::draining::DrainingServers;
 use eelgrasspier_decide::hedge::LatencyQuantile;
-use eelgrasspier_decide::leaving::DrainingServers;
 use eelgrasspier_decide::prelude::{Refusal, RefusalReason, Service, ShardId};
 use eelgrasspier_decide::snapshot::{HeldVersion, SnapshotCatalog};
+use eelgrasspier_decide::token_bucket::TokenBucket;
 use tokio::sync::oneshot;
 
 use crate::replica::{ConnectionKind, Replica};
@@ -34,7 +34,7 @@
     pub(crate) retries: RefCell<TokenBucket>,
     admission: RefCell<Gate>,
     waiters: RefCell<HashMap<Ticket, oneshot::Sender<Result<(), Refusal>>>>,
-    catalogue: RefCell<Rc<SnapshotCatalog>>,
+    catalog: RefCell<Rc<SnapshotCatalog>>,
     catalogue_epoch: Cell<u64>,
 }
 
@@ -48,7 +48,7 @@
             retries: RefCell::new(TokenBucket::new(RETRY_PERCENT, MAX_SAVED_RETRIES)),
             admission: RefCell::new(Gate::new(1)),
             waiters: RefCell::default(),
-            catalogue: RefCell::default(),
+            catalog: RefCell::default(),
             catalogue_epoch: Cell::new(u64::MAX),
             spec: Arc::clone(spec),
         }
@@ -76,20 +76,20 @@
     }
 
     /// Returns the versions held by the replicas that accept work; rebuilt when `epoch` changes.
-    pub(crate) fn catalogue(&self, epoch: u64, leaving: &DrainingServers) -> Rc<SnapshotCatalog> {
+    pub(crate) fn catalog(&self, epoch: u64, leaving: &DrainingServers) -> Rc<SnapshotCatalog> {
         if self.catalogue_epoch.replace(epoch) != epoch {
-            *self.catalogue.borrow_mut() = Rc::new(self.build_catalogue(leaving));
+            *self.catalog.borrow_mut() = Rc::new(self.build_catalog(leaving));
         }
-        Rc::clone(&self.catalogue.borrow())
+        Rc::clone(&self.catalog.borrow())
     }
 
-    fn build_catalogue(&self, leaving: &DrainingServers) -> SnapshotCatalog {
-        let mut catalogue = SnapshotCatalog::default();
+    fn build_catalog(&self, leaving: &DrainingServers) -> SnapshotCatalog {
+        let mut catalog = SnapshotCatalog::default();
         let mut all: Vec<HeldVersion> = Vec::new();
         for (number, replicas) in self.numbered_shards() {
             for replica in replicas.iter().filter(|r| !r.is_down() && r.accepts_work(leaving)) {
                 let held = replica.held();
-                catalogue.add(number, &held);
+                catalog.add(number, &held);
                 all.extend(held);
             }
         }
@@ -98,10 +98,10 @@
         // Versions of replicas without a local connection are not known; assume all known versions.
         for (number, replicas) in self.numbered_shards() {
             if !has_connections(replicas) {
-                catalogue.add(number, &all);
+                catalog.add(number, &all);
             }
         }
-        catalogue
+        catalog
     }
 
     fn numbered_shards(&self) -> impl Iterator<Item = (ShardId, &Vec<Rc<Replica>>)> {
--- a/crates/eelgrasspier/src/settings.rs
+++ b/crates/eelgrasspier/src/settings.rs
@@ -6,7 +6,7 @@
 
 use displaydoc::Display;
 use eelgrasspier_decide::replica::SelectionPolicy;
-use eelgrasspier_decide::text::is_valid_name;
+use eelgrasspier_decide::service_config::is_valid_name;
 use ini::Ini;
 
 /// Default time in milliseconds for which a stopping instance continues to serve.
--- a/crates/eelgrasspier/src/shared.rs
+++ b/crates/eelgrasspier/src/shared.rs
@@ -7,7 +7,7 @@
 
 use arc_swap::ArcSwap;
 use eelgrasspier_decide::claim::{ClaimResult, Key, Nonce};
-use eelgrasspier_decide::leaving::ServerIncarnation;
+use eelgrasspier_decide::draining::ServerIncarnation;
 use eelgrasspier_decide::quarantine::Report;
 use eelgrasspier_operator::{InstanceStatus, SubmitAnswer, Submitted, TextResponse, TimelineEntry};
 use eelgrasspier_peer::wire::{Parts, PartsDone};
--- a/crates/eelgrasspier/src/traffic.rs
+++ b/crates/eelgrasspier/src/traffic.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use eelgrasspier_backend::{Exchanger, HttpExchanger, PartFailure, Report};
-use eelgrasspier_decide::leaving::DrainingServers;
+use eelgrasspier_decide::draining::DrainingServers;
 use eelgrasspier_decide::prelude::Service;
+use eelgrasspier_decide::service_config::ReplicaSpec;
 use eelgrasspier_decide::snapshot::Snapshot;
-use eelgrasspier_decide::text::ReplicaSpec;
 use eelgrasspier_peer::Links;
 use tokio::sync::{Notify, mpsc};
 
@@ -106,16 +106,16 @@
             .into_iter()
             .filter(|s| s.name != service.spec.name)
             .filter_map(|s| services.get(&s.name))
-            .map(|s| s.catalogue(epoch, &view.leaving))
+            .map(|s| s.catalog(epoch, &view.leaving))
             .collect();
         let dependencies: Vec<_> = dependencies.iter().map(Rc::as_ref).collect();
-        service.catalogue(epoch, &view.leaving).select(&dependencies)
+        service.catalog(epoch, &view.leaving).select(&dependencies)
     }
 
     /// Returns the snapshot at the version requested by the caller.
     pub(crate) fn snapshot_at(&self, service: &ServiceState, version: u64) -> Option<Snapshot> {
         let view = self.view.borrow();
-        service.catalogue(self.snapshot_epoch.get(), &view.leaving).snapshot_at(version)
+        service.catalog(self.snapshot_epoch.get(), &view.leaving).snapshot_at(version)
     }
 
     /// Updates load, latency and health of the replica after an exchange.
--- a/crates/eelgrasspier/src/view.rs
+++ b/crates/eelgrasspier/src/view.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use eelgrasspier_decide::leaving::DrainingServers;
+use eelgrasspier_decide::draining::DrainingServers;
 use eelgrasspier_decide::membership::InstanceState;
 use eelgrasspier_decide::prelude::{ConfigVersion, Services};
 use eelgrasspier_decide::share;
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use eelgrasspier_decide::transit::DelayEstimator;
+use eelgrasspier_decide::excess_delay::DelayEstimator;
 use futures_util::{SinkExt, StreamExt};
 use prost::Message;
 use tokio::net::{TcpListener, TcpStream};
@@ -84,7 +84,7 @@
     });
     let in_progress = Rc::new(InProgress::default());
     let opened_at = Instant::now();
-    let mut transit = DelayEstimator::default();
+    let mut estimator = DelayEstimator::default();
     while let Some(Ok(bytes)) = frames.next().await {
         let Ok(frame) = Frame::decode(bytes) else { break };
         service.observe(frame.stamp);
@@ -92,7 +92,7 @@
             Some(Body::Cancel(id)) => in_progress.cancel(id),
             Some(mut request) => {
                 let now_ms = u64::try_from(opened_at.elapsed().as_millis()).unwrap_or(u64::MAX);
-                subtract_transit_delay(&mut request, &mut transit, now_ms);
+                subtract_transit_delay(&mut request, &mut estimator, now_ms);
                 spawn_answer(frame.id, request, &service, &in_progress, answers.clone());
             }
             None => {}
@@ -104,10 +104,10 @@
 }
 
 /// Subtracts the delay of a request in transit from its remaining time.
-fn subtract_transit_delay(request: &mut Body, transit: &mut DelayEstimator, now_ms: u64) {
+fn subtract_transit_delay(request: &mut Body, estimator: &mut DelayEstimator, now_ms: u64) {
     let Body::Gather(gather) = request else { return };
     if gather.sent_ms > 0 {
-        let late_ms = transit.excess_delay_ms(gather.sent_ms, now_ms);
+        let late_ms = estimator.excess_delay_ms(gather.sent_ms, now_ms);
         gather.time_left_ms = gather.time_left_ms.saturating_sub(late_ms);
         gather.answer_within_ms = gather.answer_within_ms.saturating_sub(late_ms);
     }
--- a/crates/router/src/cold.rs
+++ b/crates/router/src/cold.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-use eelgrasspier_decide::cold::{self, ColdTolerance, SlidingWindows};
+use eelgrasspier_decide::cold_limit::{self, ColdTolerance, SlidingWindows};
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::gatherers::{self, Candidate};
 use eelgrasspier_peer::wire::{Body, ColdSend};
@@ -83,7 +83,7 @@
             Some(index) if index < peers.len() => ColdAdmission::AskOwner(peers[index].clone()),
             Some(_) => {
                 let is_owner = view.settled.is_stable(zone, now_ms)
-                    && cold::is_connected(view.fleet, self.shared.heard_ms(), now_ms);
+                    && cold_limit::is_connected(view.fleet, self.shared.heard_ms(), now_ms);
                 let has_room = self.cold.windows.borrow().has_room(&replica.id, share, now_ms);
                 if is_owner && has_room {
                     ColdAdmission::CountedHere
@@ -98,7 +98,7 @@
     fn cold_rate_limit(&self, view: &View, replica: &ReplicaEntry) -> Option<usize> {
         let services = &view.configuration.as_ref()?.services;
         let rate_milli = services.get(&replica.service)?.cold_rate_milli;
-        cold::coordinator_limit(rate_milli, self.cold.bounds.get())
+        cold_limit::coordinator_limit(rate_milli, self.cold.bounds.get())
     }
 
     /// Counts one request to a cold replica; returns false if the limit has been reached.
--- a/crates/router/src/connections.rs
+++ b/crates/router/src/connections.rs
@@ -20,7 +20,7 @@
             self.backend.retain(&ids);
             self.tidy_cold();
             let peers: HashSet<Arc<str>> = view.peers.iter().map(|p| peer_key(&p.name)).collect();
-            self.standings.borrow_mut().retain(|id, _| ids.contains(id) || peers.contains(id));
+            self.replica_stats.borrow_mut().retain(|id, _| ids.contains(id) || peers.contains(id));
             if view.configuration.is_some() {
                 // Replicas of other zones are reached through their zones' instances, except for
                 // occasional hedges.
--- a/crates/router/src/control/follow.rs
+++ b/crates/router/src/control/follow.rs
@@ -5,7 +5,7 @@
 
 use eelgrasspier_decide::history::Position;
 use eelgrasspier_decide::mirror::Mirror;
-use eelgrasspier_decide::outage::{self, MAX_BACKOFF_MS, MIN_BACKOFF_MS};
+use eelgrasspier_decide::store_backoff::{self, MAX_BACKOFF_MS, MIN_BACKOFF_MS};
 use eelgrasspier_decide::watchers;
 use eelgrasspier_store::{Backoff, CollectionError, Kind};
 
@@ -207,7 +207,7 @@
         // Only a few instances probe for the end of an outage, so they may do it often.
         let sharers =
             if self.is_outage_prober() { watchers::MAX_OUTAGE_PROBERS } else { self.instances() };
-        let pause = Duration::from_millis(outage::scaled_backoff_ms(pause_ms, sharers));
+        let pause = Duration::from_millis(store_backoff::scaled_backoff_ms(pause_ms, sharers));
         let reached = self.peer_reached_store.notified();
         if tokio::time::timeout(pause, reached).await.is_ok() {
             let jitter_ms = rand::random_range(0..RECONNECT_JITTER_MS);
--- a/crates/router/src/control/instances.rs
+++ b/crates/router/src/control/instances.rs
@@ -3,9 +3,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use eelgrasspier_decide::contacts;
 use eelgrasspier_decide::membership::ListedInstance;
-use eelgrasspier_decide::outage::{MAX_BACKOFF_MS, MIN_BACKOFF_MS};
+use eelgrasspier_decide::store_backoff::{MAX_BACKOFF_MS, MIN_BACKOFF_MS};
+use eelgrasspier_decide::store_contacts;
 use eelgrasspier_store::{Announcement, Backoff, CollectionError, Kind};
 
 use super::Control;
@@ -73,7 +73,7 @@
         self.schedule_rewrite_after_restore(entries);
         let instances = self.instances();
         let is_current =
-            entries.written_size.is_some_and(|n| !contacts::must_rewrite(n, instances));
+            entries.written_size.is_some_and(|n| !store_contacts::must_rewrite(n, instances));
         if !is_current && self.may_announce() {
             let announced = self.store.announce(&self.announcement(instances)).await;
             announced.inspect_err(|e| log::info!("event=not_announced cause=\"{e}\""))?;
@@ -155,7 +155,7 @@
         let names: Vec<&str> = listed.iter().map(|l| l.name.as_str()).collect();
         let own = self.identity.name.as_str();
         if entries.written_size.is_some()
-            && self.roster.borrow_mut().must_rewrite_own(names.contains(&own))
+            && self.stale_entries.borrow_mut().must_rewrite_own(names.contains(&own))
         {
             entries.written_size = None;
         }
@@ -163,7 +163,7 @@
             let membership = self.membership.borrow();
             let alive: Vec<&str> = membership.live_peers().map(|m| m.name.as_str()).collect();
             let is_there = |name: &str| name == own || alive.contains(&name);
-            self.roster.borrow_mut().stale(&names, is_there, self.shared.now_ms())
+            self.stale_entries.borrow_mut().stale(&names, is_there, self.shared.now_ms())
         };
         // Only watchers withdraw, to limit the number of calls. Withdrawing twice does no harm.
         for name in gone.iter().filter(|_| self.is_watcher()) {
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -19,7 +19,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use eelgrasspier_decide::cold::CoordinatorStability;
+use eelgrasspier_decide::cold_limit::CoordinatorStability;
 use eelgrasspier_decide::directory::ReplicaDirectory;
 use eelgrasspier_decide::evacuations::Evacuations;
 use eelgrasspier_decide::history::{EraTracker, Position};
@@ -27,8 +27,8 @@
 use eelgrasspier_decide::mirror::{Changes, Mirror};
 use eelgrasspier_decide::pulls::ConcurrentPulls;
 use eelgrasspier_decide::quarantine::Report;
-use eelgrasspier_decide::roster::StaleEntries;
 use eelgrasspier_decide::route::{Configuration, RouteTable};
+use eelgrasspier_decide::stale_entries::StaleEntries;
 use eelgrasspier_peer::{Links, wire};
 use eelgrasspier_store::{Collections, Decode, Kind};
 use tokio::sync::{Notify, mpsc, oneshot};
@@ -116,7 +116,7 @@
     /// Membership epoch at which roles were last evaluated.
     roles_epoch: Cell<u64>,
     /// Listed instances that are not alive.
-    roster: RefCell<StaleEntries>,
+    stale_entries: RefCell<StaleEntries>,
     /// Fleet size according to the store's entries; `None` until they have been read.
     listed_fleet_size: Cell<Option<u64>>,
     /// Changes that are being fetched from other instances.
@@ -174,7 +174,7 @@
             announced_ms: Cell::new(0),
             behind_since_ms: RefCell::default(),
             roles_epoch: Cell::new(0),
-            roster: RefCell::default(),
+            stale_entries: RefCell::default(),
             listed_fleet_size: Cell::new(None),
             pulls: RefCell::default(),
             roles_changed: Notify::new(),
--- a/crates/router/src/control/roles.rs
+++ b/crates/router/src/control/roles.rs
@@ -2,10 +2,10 @@
 
 use std::collections::HashMap;
 
-use eelgrasspier_decide::contacts;
 use eelgrasspier_decide::gatherers;
 use eelgrasspier_decide::membership::{InstanceState, Liveness, Member};
 use eelgrasspier_decide::rendezvous;
+use eelgrasspier_decide::store_contacts;
 use eelgrasspier_decide::watchers::{self, Candidate};
 
 use super::Control;
@@ -54,7 +54,7 @@
 
     /// True if this instance keeps an entry in the store, by which starting instances find others.
     pub(super) fn is_contact(&self) -> bool {
-        self.has_role(contacts::is_contact)
+        self.has_role(store_contacts::is_contact)
     }
 
     /// Returns the number of instances that share connections and retries, this one included.
--- a/crates/router/src/control/stored_suspects.rs
+++ b/crates/router/src/control/stored_suspects.rs
@@ -11,8 +11,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use eelgrasspier_decide::fingerprint::Fingerprint;
-use eelgrasspier_decide::outage::MIN_BACKOFF_MS;
 use eelgrasspier_decide::quarantine::Report;
+use eelgrasspier_decide::store_backoff::MIN_BACKOFF_MS;
 use eelgrasspier_store::{Backoff, CollectionError, KeptRequest, Kind};
 use tokio::sync::Notify;
 use tokio::time::Instant;
--- a/crates/router/src/control/views.rs
+++ b/crates/router/src/control/views.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use eelgrasspier_decide::cold::CoordinatorStability;
+use eelgrasspier_decide::cold_limit::CoordinatorStability;
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::mirror::Mirror;
 use eelgrasspier_store::Kind;
@@ -40,7 +40,7 @@
             let Some(limits) = limits.filter(|l| l.cold_rate_milli > 0) else { continue };
             for replica in all {
                 let reported_ms = directory.warm_at_ms(replica);
-                let presumed_ms = evacuations.cold_until_ms(&replica.zone, limits.warm_up_ms);
+                let presumed_ms = evacuations.warm_at_ms(&replica.zone, limits.warm_up_ms);
                 let until_ms = reported_ms.max(presumed_ms.unwrap_or(0));
                 if until_ms > now_ms {
                     cold.insert(Arc::clone(&replica.id), until_ms);
--- a/crates/router/src/gather/mod.rs
+++ b/crates/router/src/gather/mod.rs
@@ -15,8 +15,8 @@
 use actix_rt::task::JoinHandle;
 use eelgrasspier_backend::{Offered, PartFailure};
 use eelgrasspier_decide::directory::ReplicaEntry;
-use eelgrasspier_decide::patience::{GatherState, WaitDecision};
 use eelgrasspier_decide::route::Route;
+use eelgrasspier_decide::wait_policy::{GatherState, WaitDecision};
 use tokio::sync::mpsc;
 
 use crate::backend::Reply;
@@ -175,10 +175,10 @@
         }
     }
 
-    /// Restricts each shard to the replicas with the given marks.
+    /// Restricts each shard to the replicas with the given hashes.
     pub(crate) fn restrict_replicas(&mut self, allowed: Vec<Vec<u32>>) {
-        for (shard, marks) in self.shards.iter_mut().zip(allowed) {
-            shard.allowed = Some(marks);
+        for (shard, hashes) in self.shards.iter_mut().zip(allowed) {
+            shard.allowed = Some(hashes);
         }
     }
 
--- a/crates/router/src/gather/relay.rs
+++ b/crates/router/src/gather/relay.rs
@@ -143,12 +143,12 @@
         let router = self.router;
         let is_sliced = |zone: &str| self.view.is_sliced(zone);
         let zones = |index: usize| self.relay_zones(&self.shards[index], peers);
-        let places = shards.into_iter().map(|index| (index, zones(index)));
-        let places = places.filter(|(_, zones)| !zones.is_empty()).collect();
+        let locations = shards.into_iter().map(|index| (index, zones(index)));
+        let locations = locations.filter(|(_, zones)| !zones.is_empty()).collect();
         let tie_breaker = rand::random();
         let min_group_size = if is_sliced(&router.zone) { 1 } else { MIN_GROUP_SHARDS };
         let mut assigned = Vec::new();
-        for group in relays::group_by_zone(places, preferred_zone, min_group_size, tie_breaker) {
+        for group in relays::group_by_zone(locations, preferred_zone, min_group_size, tie_breaker) {
             if is_sliced(group.zone) {
                 assigned.extend(self.split_by_owner(&group, peers));
             } else if let Some(peer) = router.best_peer(peers, group.zone, tie_breaker) {
@@ -232,16 +232,16 @@
         }));
     }
 
-    /// Draws the replicas that may be used for a shard relayed to `zone`; returns their marks.
+    /// Draws the replicas that may be used for a shard relayed to `zone`; returns their hashes.
     fn draw_replicas(&self, index: usize, zone: &str) -> Vec<u32> {
         let all: Vec<_> = self.replicas(&self.shards[index].service).collect();
-        let places: Vec<ReplicaLocation<'_>> = all.iter().map(|r| self.place(r)).collect();
+        let locations: Vec<ReplicaLocation<'_>> = all.iter().map(|r| self.location(r)).collect();
         let request = rendezvous::hash(self.request.id_text());
-        let drawn = relays::select_replicas(&places, zone, self.route.attempts, request);
+        let drawn = relays::select_replicas(&locations, zone, self.route.attempts, request);
         drawn.into_iter().map(|i| relays::replica_hash(&all[i].id)).collect()
     }
 
-    fn place(&self, replica: &'a ReplicaEntry) -> ReplicaLocation<'a> {
+    fn location(&self, replica: &'a ReplicaEntry) -> ReplicaLocation<'a> {
         let is_slow = self.router.is_slow(relays::replica_hash(&replica.id))
             || !self.may_send_directly(replica);
         ReplicaLocation { id: &replica.id, zone: &replica.zone, is_slow }
@@ -265,10 +265,10 @@
         let service = |&i: &usize| self.shards[i].service.to_string();
         let to_u32 = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
         // Padded to a fixed length, so that the receiver can split the list by shard.
-        let marks = |&i: &usize| {
-            let mut marks = self.shards[i].allowed.clone().unwrap_or_default();
-            marks.resize(self.route.attempts.max(1), relays::NO_REPLICA_HASH);
-            marks
+        let hashes = |&i: &usize| {
+            let mut hashes = self.shards[i].allowed.clone().unwrap_or_default();
+            hashes.resize(self.route.attempts.max(1), relays::NO_REPLICA_HASH);
+            hashes
         };
         Body::Gather(wire::Gather {
             request_id: request.id.as_bytes().to_vec().into(),
@@ -279,7 +279,7 @@
             body: request.body.clone(),
             route: self.route.name.to_string(),
             services: shards.iter().map(service).collect(),
-            allowed: shards.iter().flat_map(marks).collect(),
+            allowed: shards.iter().flat_map(hashes).collect(),
             attempts: to_u32(self.route.attempts),
             top_k: to_u32(self.route.top_k),
             time_left_ms,
--- a/crates/router/src/gather/shard.rs
+++ b/crates/router/src/gather/shard.rs
@@ -57,7 +57,9 @@
 
     /// True if the replica is among those drawn for a relay, or none were drawn.
     pub(super) fn allows(&self, replica: &ReplicaEntry) -> bool {
-        self.allowed.as_ref().is_none_or(|marks| marks.contains(&relays::replica_hash(&replica.id)))
+        self.allowed
+            .as_ref()
+            .is_none_or(|hashes| hashes.contains(&relays::replica_hash(&replica.id)))
     }
 
     /// Returns the number of replicas that ran the request or may still run it.
--- a/crates/router/src/losses.rs
+++ b/crates/router/src/losses.rs
@@ -5,7 +5,7 @@
 
 use eelgrasspier_backend::PartFailure;
 use eelgrasspier_decide::directory::ReplicaEntry;
-use eelgrasspier_decide::losses::{LostSend, ServerState};
+use eelgrasspier_decide::lost_sends::{LostSend, ServerState};
 use eelgrasspier_decide::{relays, rendezvous};
 
 use crate::model::Request;
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -45,8 +45,8 @@
     pub(crate) fn healthy_peers<'v>(&self, view: &'v View) -> Vec<&'v Peer> {
         let now_ms = self.shared.now_ms();
         let is_healthy = |p: &&Peer| {
-            let standing = self.standing(&peer_key(&p.name));
-            standing.borrow().cost(PEER_SLOTS, now_ms) < UNHEALTHY_PEER_COST
+            let stats = self.stats(&peer_key(&p.name));
+            stats.borrow().cost(PEER_SLOTS, now_ms) < UNHEALTHY_PEER_COST
         };
         view.gatherers.iter().filter(is_healthy).collect()
     }
@@ -59,7 +59,7 @@
         tie_breaker: u64,
     ) -> Option<&'v Peer> {
         let now_ms = self.shared.now_ms();
-        let cost = |p: &Peer| self.standing(&peer_key(&p.name)).borrow().cost(PEER_SLOTS, now_ms);
+        let cost = |p: &Peer| self.stats(&peer_key(&p.name)).borrow().cost(PEER_SLOTS, now_ms);
         let mut zone_peers: Vec<&Peer> =
             peers.iter().filter(|p| &*p.zone == zone).copied().collect();
         if zone_peers.is_empty() {
@@ -79,10 +79,10 @@
         state: Rc<RouteState>,
         offered: Offered,
     ) -> Result<wire::Gathered, PeerError> {
-        let standing = self.standing(&peer_key(&peer.name));
+        let replica_stats = self.stats(&peer_key(&peer.name));
         let typical_ms = state.typical_relay_ms();
         let started = Instant::now();
-        let guard = InFlightGuard::start(&standing, self.shared.now_ms(), typical_ms);
+        let guard = InFlightGuard::start(&replica_stats, self.shared.now_ms(), typical_ms);
         let is_cross_zone = peer.zone != self.zone;
         zone_bytes::count(Cause::Gather, is_cross_zone, peer_request.encoded_len());
         let result =
@@ -94,17 +94,17 @@
             Ok(Body::Gathered(answer)) => {
                 zone_bytes::count(Cause::Gather, is_cross_zone, answer.encoded_len());
                 let took_ms = took.as_secs_f64() * 1000.0;
-                standing.borrow_mut().record_answer(took_ms, typical_ms, self.shared.now_ms());
+                replica_stats.borrow_mut().record_answer(took_ms, typical_ms, self.shared.now_ms());
                 state.record_relay(took);
                 Ok(answer)
             }
             Ok(other) => {
-                standing.borrow_mut().record_failure(self.shared.now_ms());
+                replica_stats.borrow_mut().record_failure(self.shared.now_ms());
                 log::warn!("event=relay_refused peer={} answer={other:?}", peer.name);
                 Err(PeerError::NotReached("instance refused the request".to_owned()))
             }
             Err(error) => {
-                standing.borrow_mut().record_failure(self.shared.now_ms());
+                replica_stats.borrow_mut().record_failure(self.shared.now_ms());
                 Err(error)
             }
         }
@@ -120,8 +120,8 @@
 
     /// Records that an instance does not respond.
     pub(crate) fn record_unresponsive(&self, peer: &Peer) {
-        let standing = self.standing(&peer_key(&peer.name));
-        standing.borrow_mut().record_failure(self.shared.now_ms());
+        let stats = self.stats(&peer_key(&peer.name));
+        stats.borrow_mut().record_failure(self.shared.now_ms());
     }
 
     /// Gathers shards for another instance and merges them.
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -7,15 +7,15 @@
 use std::time::Duration;
 
 use eelgrasspier_backend::PartFailure;
-use eelgrasspier_decide::allowance::{RetryBudget, RetryLimits};
 use eelgrasspier_decide::directory::ReplicaEntry;
-use eelgrasspier_decide::homes::Regions;
-use eelgrasspier_decide::losses::LostSends;
-use eelgrasspier_decide::patience;
+use eelgrasspier_decide::lost_sends::LostSends;
 use eelgrasspier_decide::prelude::{Refusal, RefusalReason};
+use eelgrasspier_decide::regions::Regions;
 use eelgrasspier_decide::rendezvous;
+use eelgrasspier_decide::replica_stats::ReplicaStats;
+use eelgrasspier_decide::retry_budget::{RetryBudget, RetryLimits};
 use eelgrasspier_decide::route::{Route, Target};
-use eelgrasspier_decide::standing::ReplicaStats;
+use eelgrasspier_decide::wait_policy;
 use eelgrasspier_peer::Links;
 use tokio::time::Instant;
 
@@ -65,8 +65,8 @@
     pub(crate) key: u64,
     pub(crate) links: Links,
     limits: Cell<RetryLimits>,
-    pub(crate) standings: RefCell<NameMap<Rc<RefCell<ReplicaStats>>>>,
-    /// Expiry times of replicas that peer instances reported as slow, by replica mark.
+    pub(crate) replica_stats: RefCell<NameMap<Rc<RefCell<ReplicaStats>>>>,
+    /// Expiry times of replicas that peer instances reported as slow, by replica hash.
     pub(crate) slow_until_ms: RefCell<HashMap<u32, u64>>,
     retry_budgets: RefCell<NameMap<RetryBudget>>,
     routes: RefCell<HashMap<Arc<str>, Rc<RouteState>>>,
@@ -100,7 +100,7 @@
             // These messages need no ordering, so the clock stamp is constant.
             links: Links::new(Rc::new(|| 0)),
             limits: Cell::new(limits),
-            standings: RefCell::default(),
+            replica_stats: RefCell::default(),
             slow_until_ms: RefCell::default(),
             retry_budgets: RefCell::default(),
             routes: RefCell::default(),
@@ -189,8 +189,8 @@
             Target::Service(_) | Target::Split(_) => limit_ms,
             Target::Shards(_) => {
                 let target_ms = route.target_latency_ms;
-                let margin_ms = patience::delivery_margin_ms(target_ms, view.capacity_milli);
-                patience::effective_target_ms(target_ms, earlier_attempts_ms)
+                let margin_ms = wait_policy::delivery_margin_ms(target_ms, view.capacity_milli);
+                wait_policy::effective_target_ms(target_ms, earlier_attempts_ms)
                     .saturating_sub(margin_ms)
             }
         };
@@ -204,14 +204,14 @@
         Rc::clone(self.routes.borrow_mut().entry(Arc::clone(name)).or_default())
     }
 
-    pub(crate) fn standing(&self, id: &Arc<str>) -> Rc<RefCell<ReplicaStats>> {
-        Rc::clone(self.standings.borrow_mut().entry(Arc::clone(id)).or_default())
+    pub(crate) fn stats(&self, id: &Arc<str>) -> Rc<RefCell<ReplicaStats>> {
+        Rc::clone(self.replica_stats.borrow_mut().entry(Arc::clone(id)).or_default())
     }
 
     /// True if another replica is known to have taken over this one's address.
     pub(crate) fn is_replaced(&self, replica: &ReplicaEntry) -> bool {
-        let standings = self.standings.borrow();
-        standings.get(&replica.id).is_some_and(|s| s.borrow().is_replaced())
+        let replica_stats = self.replica_stats.borrow();
+        replica_stats.get(&replica.id).is_some_and(|s| s.borrow().is_replaced())
     }
 
     /// Replaces the mapping of availability zones to regions.
@@ -294,13 +294,13 @@
         budget_used: f64,
     ) -> Estimate {
         let now_ms = self.shared.now_ms();
-        let standing = self.standing(&replica.id);
-        let standing = standing.borrow();
-        let answer_ms = standing.expected_latency_ms(timing.typical_ms, replica.slots, now_ms);
+        let stats = self.stats(&replica.id);
+        let stats = stats.borrow();
+        let answer_ms = stats.expected_latency_ms(timing.typical_ms, replica.slots, now_ms);
         Estimate {
             answer_ms,
-            cost_ms: answer_ms + timing.typical_ms * standing.penalty_cost(budget_used, now_ms),
-            wait_ms: standing.expected_wait_ms(timing.typical_ms, replica.slots, now_ms),
+            cost_ms: answer_ms + timing.typical_ms * stats.penalty_cost(budget_used, now_ms),
+            wait_ms: stats.expected_wait_ms(timing.typical_ms, replica.slots, now_ms),
         }
     }
 
@@ -313,11 +313,12 @@
     ) -> Result<Reply, PartFailure> {
         let replica = Arc::clone(&attempt.replica);
         let request = Rc::clone(&attempt.request);
-        let standing = self.standing(&replica.id);
+        let replica_stats = self.stats(&replica.id);
         let started = Instant::now();
         let sent_ms = self.shared.now_ms();
-        let expected_ms = standing.borrow_mut().record_sent_work(work_ms, replica.slots, sent_ms);
-        let guard = InFlightGuard { standing: Rc::clone(&standing), sent_ms };
+        let expected_ms =
+            replica_stats.borrow_mut().record_sent_work(work_ms, replica.slots, sent_ms);
+        let guard = InFlightGuard { stats: Rc::clone(&replica_stats), sent_ms };
         let is_cross_zone = replica.zone != self.zone;
         zone_bytes::count(Cause::Replica, is_cross_zone, attempt.request.body.len());
         let result = self.backend.send(attempt).await;
@@ -326,34 +327,35 @@
         let took = started.elapsed();
         metrics::histogram!("eelgrasspier_part_seconds").record(took.as_secs_f64());
         let now_ms = self.shared.now_ms();
-        let mut standing = standing.borrow_mut();
+        let mut replica_stats = replica_stats.borrow_mut();
         match &result {
             Ok(reply) => {
                 self.record_answered(&request);
                 zone_bytes::count(Cause::Replica, is_cross_zone, reply.body.len());
                 // The reported load includes the request that was just answered.
-                standing.record_reported_load(reply.load.unwrap_or(0).saturating_sub(1), now_ms);
+                replica_stats
+                    .record_reported_load(reply.load.unwrap_or(0).saturating_sub(1), now_ms);
                 if reply.status.is_server_error() {
-                    standing.record_failure(now_ms);
+                    replica_stats.record_failure(now_ms);
                 } else {
-                    standing.record_answer(took.as_secs_f64() * 1000.0, expected_ms, now_ms);
+                    replica_stats.record_answer(took.as_secs_f64() * 1000.0, expected_ms, now_ms);
                     // Excludes the estimated time in the replica's queue.
                     let work_time = took.mul_f64(work_ms / expected_ms.max(work_ms));
                     state.record_exchange(work_time, now_ms);
                 }
             }
             Err(PartFailure::Shed(report)) => {
-                standing.record_reported_load(report.load.unwrap_or(replica.slots), now_ms);
-                standing.record_shed(now_ms);
+                replica_stats.record_reported_load(report.load.unwrap_or(replica.slots), now_ms);
+                replica_stats.record_shed(now_ms);
             }
             // The connection limit is local and says nothing about the replica.
             Err(PartFailure::Crowded) => {}
             Err(PartFailure::Misdirected) => {
                 log::info!("event=replica_replaced replica={} addr={}", replica.id, replica.addr);
-                standing.mark_replaced();
+                replica_stats.mark_replaced();
             }
             Err(failure) => {
-                standing.record_failure(now_ms);
+                replica_stats.record_failure(now_ms);
                 if matches!(failure, PartFailure::Lost(_)) {
                     self.record_loss(&request, &replica);
                 }
@@ -381,23 +383,19 @@
 
 /// Counts a request as in flight at a replica until dropped.
 pub(crate) struct InFlightGuard {
-    standing: Rc<RefCell<ReplicaStats>>,
+    stats: Rc<RefCell<ReplicaStats>>,
     sent_ms: u64,
 }
 
 impl InFlightGuard {
-    pub(crate) fn start(
-        standing: &Rc<RefCell<ReplicaStats>>,
-        now_ms: u64,
-        typical_ms: f64,
-    ) -> Self {
-        standing.borrow_mut().record_sent(now_ms, typical_ms);
-        Self { standing: Rc::clone(standing), sent_ms: now_ms }
+    pub(crate) fn start(stats: &Rc<RefCell<ReplicaStats>>, now_ms: u64, typical_ms: f64) -> Self {
+        stats.borrow_mut().record_sent(now_ms, typical_ms);
+        Self { stats: Rc::clone(stats), sent_ms: now_ms }
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.standing.borrow_mut().record_end(self.sent_ms);
+        self.stats.borrow_mut().record_end(self.sent_ms);
     }
 }
--- a/crates/router/src/setup.rs
+++ b/crates/router/src/setup.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use eelgrasspier_decide::allowance::RetryLimits;
-use eelgrasspier_decide::cold::ColdTolerance;
-use eelgrasspier_decide::homes::Regions;
+use eelgrasspier_decide::cold_limit::ColdTolerance;
+use eelgrasspier_decide::regions::Regions;
+use eelgrasspier_decide::retry_budget::RetryLimits;
 
 /// The validated settings of one instance.
 #[derive(Debug, Clone)]
--- a/crates/router/src/suspects.rs
+++ b/crates/router/src/suspects.rs
@@ -8,7 +8,7 @@
 
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::fingerprint::Fingerprint;
-use eelgrasspier_decide::losses::CrashedSend;
+use eelgrasspier_decide::lost_sends::CrashedSend;
 use eelgrasspier_decide::quarantine::{EvidenceEffect, Quarantine, Report, Treatment};
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
--- a/crates/router/src/told.rs
+++ b/crates/router/src/told.rs
@@ -4,7 +4,7 @@
 
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::relays;
-use eelgrasspier_decide::standing::ReplicaReport;
+use eelgrasspier_decide::replica_stats::ReplicaReport;
 use eelgrasspier_peer::wire;
 
 use crate::router::Router;
@@ -36,10 +36,10 @@
     /// Returns load reports on the busy or slow replicas of some services.
     pub(crate) fn busy_replicas(&self, view: &View, services: &[Arc<str>]) -> Vec<wire::Busy> {
         let now_ms = self.shared.now_ms();
-        let standings = self.standings.borrow();
+        let replica_stats = self.replica_stats.borrow();
         let busy = |replica: &Arc<ReplicaEntry>| {
-            let standing = standings.get(&replica.id)?.borrow();
-            let (load, ratio) = (standing.load(now_ms), standing.ratio(now_ms));
+            let stats = replica_stats.get(&replica.id)?.borrow();
+            let (load, ratio) = (stats.load(now_ms), stats.ratio(now_ms));
             let is_busy = load >= f64::from(replica.slots) || ratio >= MIN_REPORTED_RATIO;
             is_busy.then_some(wire::Busy {
                 mark: relays::replica_hash(&replica.id),
@@ -63,39 +63,39 @@
         }
         let now_ms = self.shared.now_ms();
         for replica in services.filter_map(|s| view.replicas.get(s)).flatten() {
-            let mark = relays::replica_hash(&replica.id);
-            let Some(reported) = busy.iter().find(|b| b.mark == mark) else { continue };
+            let hash = relays::replica_hash(&replica.id);
+            let Some(reported) = busy.iter().find(|b| b.mark == hash) else { continue };
             let reported = ReplicaReport {
                 load: reported.load,
                 ratio: f64::from(reported.ratio_tenths) / 10.0,
             };
-            self.standing(&replica.id).borrow_mut().apply_report(reported, now_ms);
+            self.stats(&replica.id).borrow_mut().apply_report(reported, now_ms);
         }
     }
 
-    /// Returns the marks of the replicas of some services that are slow, paused or failing.
+    /// Returns the hashes of the replicas of some services that are slow, paused or failing.
     pub(crate) fn slow_replicas(&self, view: &View, services: &[Arc<str>]) -> Vec<u32> {
         let now_ms = self.shared.now_ms();
-        let standings = self.standings.borrow();
+        let replica_stats = self.replica_stats.borrow();
         let is_slow = |replica: &&Arc<ReplicaEntry>| {
-            let standing = standings.get(&replica.id);
-            standing.is_some_and(|s| s.borrow().cost(replica.slots, now_ms) > SLOW_COST_RATIO)
+            let stats = replica_stats.get(&replica.id);
+            stats.is_some_and(|s| s.borrow().cost(replica.slots, now_ms) > SLOW_COST_RATIO)
         };
         let listed = services.iter().filter_map(|s| view.replicas.get(s)).flatten();
         listed.filter(is_slow).map(|r| relays::replica_hash(&r.id)).collect()
     }
 
     /// Records replicas that another instance reports as slow.
-    pub(crate) fn record_slow(&self, marks: &[u32]) {
+    pub(crate) fn record_slow(&self, hashes: &[u32]) {
         let now_ms = self.shared.now_ms();
         let mut slow = self.slow_until_ms.borrow_mut();
         slow.retain(|_, until_ms| *until_ms > now_ms);
-        slow.extend(marks.iter().map(|&mark| (mark, now_ms + SLOW_MARK_TTL_MS)));
+        slow.extend(hashes.iter().map(|&hash| (hash, now_ms + SLOW_MARK_TTL_MS)));
     }
 
     /// True if another instance has recently reported a replica as slow.
-    pub(crate) fn is_slow(&self, mark: u32) -> bool {
-        let until_ms = self.slow_until_ms.borrow().get(&mark).copied();
+    pub(crate) fn is_slow(&self, hash: u32) -> bool {
+        let until_ms = self.slow_until_ms.borrow().get(&hash).copied();
         until_ms.is_some_and(|until_ms| until_ms > self.shared.now_ms())
     }
 }
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -7,12 +7,12 @@
 use tokio::time::Instant;
 
 use arc_swap::ArcSwap;
-use eelgrasspier_decide::allowance;
-use eelgrasspier_decide::cold::CoordinatorStability;
+use eelgrasspier_decide::cold_limit::CoordinatorStability;
 use eelgrasspier_decide::connections::{ConnectionShare, MIN_CONNECTIONS, MembershipView};
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::gatherers::Candidate;
 use eelgrasspier_decide::rendezvous;
+use eelgrasspier_decide::retry_budget;
 use eelgrasspier_decide::route::{Configuration, RouteTable};
 use tokio::sync::Notify;
 
@@ -102,25 +102,27 @@
             self.delegating_zones.insert(own_zone.into());
         }
         let gatherers = u64::try_from(self.gatherers.len()).unwrap_or(u64::MAX);
-        self.slack_sharers = allowance::slack_divisor(self.instances, gatherers, self.is_gatherer);
+        self.slack_sharers =
+            retry_budget::slack_divisor(self.instances, gatherers, self.is_gatherer);
         let mut zones: Vec<&Arc<str>> = self.replicas.values().flatten().map(|r| &r.zone).collect();
         zones.sort_unstable();
         zones.dedup();
         let part =
-            |zone: &Arc<str>| (Arc::clone(zone), self.connection_place(zone, own_zone).into());
+            |zone: &Arc<str>| (Arc::clone(zone), self.membership_view(zone, own_zone).into());
         self.connection_shares = zones.into_iter().map(part).collect();
         self
     }
 
-    fn connection_place(&self, zone: &str, own_zone: &str) -> MembershipView {
+    fn membership_view(&self, zone: &str, own_zone: &str) -> MembershipView {
         let to_u32 = |n: usize| u32::try_from(n).unwrap_or(u32::MAX);
-        let near_peers = to_u32(self.gatherers.iter().filter(|p| &*p.zone == zone).count());
+        let same_zone_gatherers =
+            to_u32(self.gatherers.iter().filter(|p| &*p.zone == zone).count());
         let known = to_u32(self.peers.len()) + 1;
         MembershipView {
             is_same_zone: zone == own_zone && self.is_gatherer,
             has_delegating_instances: self.is_sliced(zone),
-            same_zone_gatherers: near_peers,
-            other_zone_gatherers: to_u32(self.gatherers.len()) - near_peers,
+            same_zone_gatherers,
+            other_zone_gatherers: to_u32(self.gatherers.len()) - same_zone_gatherers,
             unknown_instances: u32::try_from(self.instances)
                 .unwrap_or(u32::MAX)
                 .saturating_sub(known),
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -10,9 +10,9 @@
 
 use bytes::Bytes;
 use eelgrasspier_backend::PartFailure;
-use eelgrasspier_decide::allowance::RetryLimits;
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::history::Edition;
+use eelgrasspier_decide::retry_budget::RetryLimits;
 use eelgrasspier_decide::route::{Configuration, Route, RouteTable, ServiceLimits, Target};
 use eelgrasspier_router::{Attempt, Backend, BackendFuture, Learnt, Outcome, Reply, Request};
 use eelgrasspier_router::{Router, Shared, View};
--- a/crates/router/tests/lost_relays.rs
+++ b/crates/router/tests/lost_relays.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use common::{World, in_real_time, route, view};
-use eelgrasspier_decide::allowance::RetryLimits;
+use eelgrasspier_decide::retry_budget::RetryLimits;
 use eelgrasspier_peer::wire::Body;
 use eelgrasspier_peer::{AnswerFuture, PeerService, serve};
 use eelgrasspier_router::{Outcome, Peer, Router};
--- a/crates/router/tests/overload.rs
+++ b/crates/router/tests/overload.rs
@@ -112,7 +112,7 @@
         let answer = world.router.gather_for_peer(gather_request.clone()).await;
         assert_eq!((answer.parts.len(), answer.left_out), (1, vec![1]));
         let slow = ["s1/a", "s1/b"].map(relays::replica_hash);
-        assert!(slow.iter().all(|mark| answer.slow.contains(mark)));
+        assert!(slow.iter().all(|hash| answer.slow.contains(hash)));
         // If no shard may be missing, nothing is sent.
         let before = world.script.arrivals.borrow().len();
         let strict = wire::Gather { may_miss: 0, ..gather_request };
@@ -182,7 +182,7 @@
         for id in ["t1", "t2", "t3", "t4", "t5"] {
             world.serve(id, 400).await;
         }
-        let marks =
+        let hashes =
             (0..4).flat_map(|s| ["a", "b"].map(|r| relays::replica_hash(&format!("s{s}/{r}"))));
         let gather_request = wire::Gather {
             request_id: "r1".into(),
@@ -196,7 +196,7 @@
             time_left_ms: 400,
             answer_within_ms: 70,
             target_latency_ms: 80,
-            allowed: marks.collect(),
+            allowed: hashes.collect(),
             may_miss: 4,
             ..wire::Gather::default()
         };
--- a/crates/router/tests/sends.rs
+++ b/crates/router/tests/sends.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{Conduct, World, in_virtual_time, route};
-use eelgrasspier_decide::allowance::RetryLimits;
 use eelgrasspier_decide::prelude::Verdict;
+use eelgrasspier_decide::retry_budget::RetryLimits;
 use eelgrasspier_decide::route::Target;
 use eelgrasspier_router::Outcome;
 
--- a/crates/standin/src/slopes.rs
+++ b/crates/standin/src/slopes.rs
@@ -100,12 +100,12 @@
     ];
     let started = Instant::now();
     for _ in 0..ROUNDS {
-        let mut catalogue = SnapshotCatalog::default();
+        let mut catalog = SnapshotCatalog::default();
         for shard in 0..shards {
-            catalogue.add(shard, &held);
-            catalogue.add(shard, &held);
+            catalog.add(shard, &held);
+            catalog.add(shard, &held);
         }
-        black_box(catalogue.select(&[]));
+        black_box(catalog.select(&[]));
     }
     started.elapsed().as_micros() / u128::from(ROUNDS)
 }
--- a/crates/store/src/http.rs
+++ b/crates/store/src/http.rs
@@ -86,7 +86,7 @@
                 return Err(format!("answer from earlier era {text:?}, current era is {before}"));
             }
             EraComparison::Regressed => {
-                log::debug!("platform reports earlier era {text:?}, previously {before}")
+                log::debug!("platform reports earlier era {text:?}, previously {before}");
             }
         }
         Ok(())
