--- a/crates/backend/src/failure.rs
+++ b/crates/backend/src/failure.rs
@@ -19,15 +19,15 @@
     WrongVersion(Box<Report>),
     /// the connection was lost: {0}
     Lost(String),
-    /// timed out waiting for the answer
+    /// no answer came in time
     TimedOut,
     /// the backend server answered with status {0}
     Status(u16),
     /// the answer is longer than {0} bytes
     TooLarge(usize),
-    /// all permitted connections to the backend server are in use
+    /// all connections that may be open to the backend server are in use
     Crowded,
-    /// the address now belongs to another backend server
+    /// another backend server has the address now
     Misdirected,
     /// the answer can't be used: {0}
     Unusable(String),
