--- a/crates/backend/src/exchange.rs
+++ b/crates/backend/src/exchange.rs
@@ -13,7 +13,7 @@
 
 use crate::failure::PartFailure;
 use crate::headers;
-use crate::report::{Report, header_number};
+use crate::report::{ServerReport, header_number};
 
 /// Idle time after which a pooled connection is closed.
 ///
@@ -30,7 +30,7 @@
 
 /// Kind of request that a part belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// A query, which may be retried.
     Query,
     /// A run, which must not be executed twice.
@@ -46,7 +46,7 @@
     /// Address of the backend server.
     pub addr: SocketAddr,
     /// Query or run.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Name of the service.
     pub service: Rc<str>,
     /// Number of the shard.
@@ -71,40 +71,40 @@
     /// Index version used for the answer, if reported.
     pub version: Option<IndexVersion>,
     /// Server state reported with the answer.
-    pub report: Report,
+    pub report: ServerReport,
 }
 
 /// Future of an exchange; dropping it closes the connection.
 pub type PartFuture<T> = Pin<Box<dyn Future<Output = Result<T, PartFailure>>>>;
 
 /// Sends requests to backend servers.
-pub trait Exchanger: std::fmt::Debug {
+pub trait BackendClient: std::fmt::Debug {
     /// Sends one request and waits for its answer.
     fn exchange(&self, request: PartRequest) -> PartFuture<PartAnswer>;
 
     /// Requests the state of a server; also opens a connection to it.
-    fn probe(&self, addr: SocketAddr, timeout: Duration) -> PartFuture<Report>;
+    fn probe(&self, addr: SocketAddr, timeout: Duration) -> PartFuture<ServerReport>;
 
     /// Tells a server that the answer to request `id` is no longer needed.
     fn cancel(&self, addr: SocketAddr, id: &str, timeout: Duration) -> PartFuture<()>;
 }
 
-/// [`Exchanger`] over HTTP; its connection pool belongs to one thread.
+/// [`BackendClient`] over HTTP; its connection pool belongs to one thread.
 #[derive(Clone)]
-pub struct HttpExchanger {
+pub struct HttpBackendClient {
     pooled: Client,
     /// Opens a connection for each request. A run sent on a pooled connection that the server is
     /// closing would be lost with an unknown outcome.
     unpooled: Client,
 }
 
-impl std::fmt::Debug for HttpExchanger {
+impl std::fmt::Debug for HttpBackendClient {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("HttpExchanger").finish_non_exhaustive()
     }
 }
 
-impl HttpExchanger {
+impl HttpBackendClient {
     /// Creates a client, which must be used on the calling thread only.
     #[must_use]
     pub fn new(connect_timeout: Duration) -> Self {
@@ -121,8 +121,8 @@
     fn request(&self, part: &PartRequest) -> ClientRequest {
         let url = |path| format!("http://{}/{path}", part.addr);
         let request = match &part.kind {
-            Kind::Query => self.pooled.post(url("query")),
-            Kind::Run { key } => {
+            RequestKind::Query => self.pooled.post(url("query")),
+            RequestKind::Run { key } => {
                 let request = self.unpooled.post(url("run")).force_close();
                 request.insert_header((headers::IDEMPOTENCY_KEY.clone(), key.as_str()))
             }
@@ -143,7 +143,7 @@
         let request = self.request(part);
         let sent = request.send_body(part.body.clone()).await;
         let mut answer = sent.map_err(|e| PartFailure::from(&e))?;
-        let report = Report::from(answer.headers());
+        let report = ServerReport::from(answer.headers());
         check_status(answer.status(), &report)?;
         let version = header_number(answer.headers(), &headers::VERSION);
         if part.version.is_some() && version != part.version {
@@ -155,7 +155,7 @@
     }
 }
 
-fn check_status(status: StatusCode, report: &Report) -> Result<(), PartFailure> {
+fn check_status(status: StatusCode, report: &ServerReport) -> Result<(), PartFailure> {
     match status {
         StatusCode::OK => Ok(()),
         StatusCode::SERVICE_UNAVAILABLE => Err(PartFailure::Shed(Box::new(report.clone()))),
@@ -182,22 +182,22 @@
 
 /// Sends a request, reads its body to the end so that the connection can be reused, and returns the
 /// reported state.
-async fn fetch_report(request: ClientRequest) -> Result<Report, PartFailure> {
+async fn fetch_report(request: ClientRequest) -> Result<ServerReport, PartFailure> {
     let mut answer = request.send().await.map_err(|e| PartFailure::from(&e))?;
-    let report = Report::from(answer.headers());
+    let report = ServerReport::from(answer.headers());
     check_status(answer.status(), &report)?;
     let drained = answer.body().await;
     drained.map_err(|e| PartFailure::Lost(e.to_string()))?;
     Ok(report)
 }
 
-impl Exchanger for HttpExchanger {
+impl BackendClient for HttpBackendClient {
     fn exchange(&self, request: PartRequest) -> PartFuture<PartAnswer> {
         let client = self.clone();
         Box::pin(async move { with_timeout(request.time_left, client.send(&request)).await })
     }
 
-    fn probe(&self, addr: SocketAddr, timeout: Duration) -> PartFuture<Report> {
+    fn probe(&self, addr: SocketAddr, timeout: Duration) -> PartFuture<ServerReport> {
         let request = self.pooled.get(format!("http://{addr}/state"));
         Box::pin(with_timeout(timeout, fetch_report(request)))
     }
--- a/crates/backend/src/failure.rs
+++ b/crates/backend/src/failure.rs
@@ -4,7 +4,7 @@
 use displaydoc::Display;
 use eelgrasspier_decide::verdict::Verdict;
 
-use crate::report::Report;
+use crate::report::ServerReport;
 
 /// Reason why an exchange returned no usable answer.
 #[derive(Debug, Display, Clone, PartialEq, Eq, thiserror::Error)]
@@ -14,9 +14,9 @@
     /// nothing listens at the backend server's address
     NotListening,
     /// the backend server shed the request
-    Shed(Box<Report>),
+    Shed(Box<ServerReport>),
     /// the backend server does not hold the index version
-    WrongVersion(Box<Report>),
+    WrongVersion(Box<ServerReport>),
     /// the connection was lost: {0}
     Lost(String),
     /// no answer came in time
--- a/crates/backend/src/lib.rs
+++ b/crates/backend/src/lib.rs
@@ -11,10 +11,12 @@
 mod pool;
 mod report;
 
-pub use exchange::{Exchanger, HttpExchanger, Kind, PartAnswer, PartFuture, PartRequest};
+pub use exchange::{
+    BackendClient, HttpBackendClient, PartAnswer, PartFuture, PartRequest, RequestKind,
+};
 pub use failure::PartFailure;
-pub use pool::{Lanes, Offered, Send, WireAnswer, has_ended};
-pub use report::Report;
+pub use pool::{ConnectionPool, DispatchFlag, ExchangeRequest, RawAnswer, refuses_connections};
+pub use report::ServerReport;
 
 /// Headers of the backend protocol.
 pub mod headers {
--- a/crates/backend/src/pool.rs
+++ b/crates/backend/src/pool.rs
@@ -42,7 +42,7 @@
 
 /// Request to a backend server, with its limits.
 #[derive(Debug)]
-pub struct Send {
+pub struct ExchangeRequest {
     /// Id of the server process; connections are pooled by it.
     pub server: Arc<str>,
     /// Address of the server.
@@ -50,17 +50,17 @@
     /// HTTP request to send.
     pub request: Request<Full<Bytes>>,
     /// Maximum number of open connections to the server.
-    pub most_connections: u32,
+    pub max_connections: u32,
     /// True if the request may be sent again after its answer was lost.
     pub is_repeatable: bool,
     /// True if the connection is kept alive for the next request.
-    pub is_kept: bool,
+    pub keep_alive: bool,
     /// Timeout of the whole exchange.
     pub time_left: Duration,
     /// Maximum size of the answer's body in bytes.
     pub max_bytes: usize,
     /// Set once the request is handed to a connection.
-    pub offered: Offered,
+    pub dispatched: DispatchFlag,
 }
 
 /// Flag that records whether a request was handed to a connection.
@@ -69,11 +69,11 @@
 /// connection was still being opened; reporting "may have run" in that case would keep the caller
 /// from retrying a request that must not run twice.
 #[derive(Debug, Clone, Default)]
-pub struct Offered(Rc<Cell<bool>>);
+pub struct DispatchFlag(Rc<Cell<bool>>);
 
-impl Offered {
+impl DispatchFlag {
     /// Records that the request may be written from now on.
-    pub fn mark(&self) {
+    pub fn set(&self) {
         self.0.set(true);
     }
 
@@ -84,14 +84,14 @@
 
     /// Returns true if a server may have received the request.
     #[must_use]
-    pub fn is_marked(&self) -> bool {
+    pub fn is_set(&self) -> bool {
         self.0.get()
     }
 }
 
 /// Complete answer of a backend server.
 #[derive(Debug)]
-pub struct WireAnswer {
+pub struct RawAnswer {
     /// HTTP status.
     pub status: StatusCode,
     /// Response headers.
@@ -102,7 +102,7 @@
 
 /// Pool of one thread's connections to all backend servers.
 #[derive(Debug, Default)]
-pub struct Lanes {
+pub struct ConnectionPool {
     servers: RefCell<HashMap<Arc<str>, Rc<ServerPool>, foldhash::fast::RandomState>>,
 }
 
@@ -140,43 +140,48 @@
     }
 }
 
-impl Lanes {
+impl ConnectionPool {
     /// Sends a request and reads its complete answer.
     ///
     /// # Errors
     /// Fails with [`PartFailure::NotReached`], [`PartFailure::NotListening`] or
     /// [`PartFailure::Crowded`] if no byte of the request was written.
-    pub async fn exchange(&self, send: Send) -> Result<WireAnswer, PartFailure> {
-        let time_left = send.time_left;
-        let offered = send.offered.clone();
-        let result = actix_rt::time::timeout(time_left, self.exchange_without_timeout(send)).await;
+    pub async fn exchange(&self, exchange: ExchangeRequest) -> Result<RawAnswer, PartFailure> {
+        let time_left = exchange.time_left;
+        let dispatched = exchange.dispatched.clone();
+        let result =
+            actix_rt::time::timeout(time_left, self.exchange_without_timeout(exchange)).await;
         result.unwrap_or_else(|_| {
-            let is_connecting = !offered.is_marked();
+            let is_connecting = !dispatched.is_set();
             Err(if is_connecting { connect_timed_out() } else { PartFailure::TimedOut })
         })
     }
 
-    async fn exchange_without_timeout(&self, send: Send) -> Result<WireAnswer, PartFailure> {
-        let pool = self.server_pool(&send.server);
-        let limits = AnswerLimits { is_kept: send.is_kept, max_bytes: send.max_bytes };
-        let mut request = send.request;
+    async fn exchange_without_timeout(
+        &self,
+        exchange: ExchangeRequest,
+    ) -> Result<RawAnswer, PartFailure> {
+        let pool = self.server_pool(&exchange.server);
+        let limits =
+            AnswerLimits { keep_alive: exchange.keep_alive, max_bytes: exchange.max_bytes };
+        let mut request = exchange.request;
         for _ in 0..MAX_REUSE_ATTEMPTS {
-            let Some(mut connection) = pool.take_idle(send.is_repeatable) else { break };
-            send.offered.mark();
+            let Some(mut connection) = pool.take_idle(exchange.is_repeatable) else { break };
+            exchange.dispatched.set();
             match connection.sender.try_send_request(request).await {
                 Ok(answer) => return read_answer(pool, connection, answer, limits).await,
                 Err(mut error) => match error.take_message() {
                     // The connection was closed before anything was written.
                     Some(unsent) => {
-                        send.offered.clear();
+                        exchange.dispatched.clear();
                         request = unsent;
                     }
                     None => return Err(PartFailure::Lost(error.into_error().to_string())),
                 },
             }
         }
-        let mut connection = pool.connect(send.addr, send.most_connections).await?;
-        send.offered.mark();
+        let mut connection = pool.connect(exchange.addr, exchange.max_connections).await?;
+        exchange.dispatched.set();
         match connection.sender.try_send_request(request).await {
             Ok(answer) => read_answer(pool, connection, answer, limits).await,
             Err(mut error) => match error.take_message() {
@@ -190,7 +195,7 @@
     ///
     /// # Errors
     /// Fails if the server can't be reached.
-    pub async fn warm(
+    pub async fn preconnect(
         &self,
         server: &Arc<str>,
         addr: SocketAddr,
@@ -211,7 +216,7 @@
     ///
     /// # Errors
     /// Fails with [`PartFailure::NotListening`] if the server process has ended.
-    pub async fn reach(
+    pub async fn check_listening(
         &self,
         server: &Arc<str>,
         addr: SocketAddr,
@@ -229,7 +234,7 @@
 
     /// Returns true if a connection is idle or another one may be opened.
     #[must_use]
-    pub fn has_room(&self, server: &str, max_connections: u32) -> bool {
+    pub fn has_capacity(&self, server: &str, max_connections: u32) -> bool {
         let servers = self.servers.borrow();
         let Some(pool) = servers.get(server) else { return true };
         !pool.idle.borrow().is_empty() || pool.open_count.get() < max_connections
@@ -301,7 +306,7 @@
 }
 
 /// Returns true if the server process has ended, that is, its address refuses connections.
-pub async fn has_ended(addr: SocketAddr) -> bool {
+pub async fn refuses_connections(addr: SocketAddr) -> bool {
     matches!(connect(addr).await, Err(PartFailure::NotListening))
 }
 
@@ -345,7 +350,7 @@
 /// Limits on an answer, and whether its connection is kept alive.
 #[derive(Debug, Clone, Copy)]
 struct AnswerLimits {
-    is_kept: bool,
+    keep_alive: bool,
     max_bytes: usize,
 }
 
@@ -353,8 +358,8 @@
     pool: Rc<ServerPool>,
     connection: Connection,
     answer: Response<Incoming>,
-    AnswerLimits { is_kept, max_bytes }: AnswerLimits,
-) -> Result<WireAnswer, PartFailure> {
+    AnswerLimits { keep_alive, max_bytes }: AnswerLimits,
+) -> Result<RawAnswer, PartFailure> {
     let (head, body) = answer.into_parts();
     let body = Limited::new(body, max_bytes).collect().await.map_err(|error| match error
         .downcast_ref::<LengthLimitError>(
@@ -362,10 +367,10 @@
         Some(_) => PartFailure::TooLarge(max_bytes),
         None => PartFailure::Lost(error.to_string()),
     })?;
-    if is_kept && !has_close_token(&head.headers) {
+    if keep_alive && !has_close_token(&head.headers) {
         release(pool, connection, stated_idle_timeout(&head.headers));
     }
-    Ok(WireAnswer { status: head.status, headers: head.headers, body: body.to_bytes() })
+    Ok(RawAnswer { status: head.status, headers: head.headers, body: body.to_bytes() })
 }
 
 /// Returns a connection to the pool once it is ready for the next request.
--- a/crates/backend/src/report.rs
+++ b/crates/backend/src/report.rs
@@ -7,7 +7,7 @@
 
 /// State of a backend server, as reported by one of its answers.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Report {
+pub struct ServerReport {
     /// Number of running and queued requests; may be out of date or wrong.
     pub load: Option<u32>,
     /// True if the server is draining.
@@ -15,16 +15,18 @@
     /// Start time of the server process in milliseconds since the Unix epoch; 0 if not reported.
     pub incarnation: u64,
     /// Index versions held by the server; empty if not reported.
-    pub held: Vec<HeldVersion>,
+    pub held_versions: Vec<HeldVersion>,
 }
 
-impl From<&HeaderMap> for Report {
+impl From<&HeaderMap> for ServerReport {
     fn from(map: &HeaderMap) -> Self {
         Self {
             load: header_number(map, &headers::LOAD),
             is_draining: header_text(map, &headers::DRAINING) == Some("1"),
             incarnation: header_number(map, &headers::STARTED).unwrap_or_default(),
-            held: header_text(map, &headers::VERSIONS).map(parse_held_versions).unwrap_or_default(),
+            held_versions: header_text(map, &headers::VERSIONS)
+                .map(parse_held_versions)
+                .unwrap_or_default(),
         }
     }
 }
--- a/crates/backend/tests/http_client.rs
+++ b/crates/backend/tests/http_client.rs
@@ -4,14 +4,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use eelgrasspier_backend::{Exchanger, HttpExchanger, Kind, PartFailure, PartRequest};
+use eelgrasspier_backend::{
+    BackendClient, HttpBackendClient, PartFailure, PartRequest, RequestKind,
+};
 use eelgrasspier_decide::verdict::Verdict;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nindex-version: 1\r\ncontent-length: 2\r\n\r\nok";
 
-fn request(addr: SocketAddr, kind: Kind, time_left: Duration) -> PartRequest {
+fn request(addr: SocketAddr, kind: RequestKind, time_left: Duration) -> PartRequest {
     PartRequest {
         addr,
         kind,
@@ -56,10 +58,10 @@
         let retry = tokio::time::timeout(Duration::from_millis(300), listener.accept()).await;
         (second, retry.is_err())
     });
-    let exchanger = HttpExchanger::new(Duration::from_secs(1));
+    let client = HttpBackendClient::new(Duration::from_secs(1));
     let timeout = Duration::from_secs(5);
-    exchanger.exchange(request(addr, Kind::Query, timeout)).await.unwrap();
-    let failure = exchanger.exchange(request(addr, Kind::Query, timeout)).await.unwrap_err();
+    client.exchange(request(addr, RequestKind::Query, timeout)).await.unwrap();
+    let failure = client.exchange(request(addr, RequestKind::Query, timeout)).await.unwrap_err();
     assert_eq!(failure.verdict(), Verdict::MayHaveRun, "{failure:?}");
     let (second_bytes, is_not_retried) = server.await.unwrap();
     assert!(second_bytes > 0 && is_not_retried);
@@ -71,9 +73,9 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     drop(listener);
-    let exchanger = HttpExchanger::new(Duration::from_secs(1));
-    let kind = Kind::Run { key: "key".to_owned() };
-    let sent = exchanger.exchange(request(addr, kind, Duration::from_secs(5))).await;
+    let client = HttpBackendClient::new(Duration::from_secs(1));
+    let kind = RequestKind::Run { key: "key".to_owned() };
+    let sent = client.exchange(request(addr, kind, Duration::from_secs(5))).await;
     let failure = sent.unwrap_err();
     assert!(matches!(failure, PartFailure::NotReached(_)), "{failure:?}");
     assert_eq!(failure.verdict(), Verdict::NotRun);
@@ -92,15 +94,19 @@
         read_request(&mut stream).await;
         stream.write_all(ANSWER).await.unwrap();
     });
-    let exchanger = HttpExchanger::new(Duration::from_secs(1));
+    let client = HttpBackendClient::new(Duration::from_secs(1));
     let timeout = Duration::from_mins(1);
     let waiting: Vec<_> = (0..200)
         .map(|_| {
-            actix_rt::spawn(exchanger.exchange(request(unresponsive_addr, Kind::Query, timeout)))
+            actix_rt::spawn(client.exchange(request(
+                unresponsive_addr,
+                RequestKind::Query,
+                timeout,
+            )))
         })
         .collect();
     tokio::task::yield_now().await;
-    let answer = exchanger.exchange(request(healthy_addr, Kind::Query, timeout)).await;
+    let answer = client.exchange(request(healthy_addr, RequestKind::Query, timeout)).await;
     assert_eq!(answer.unwrap().body, "ok");
     assert!(waiting.iter().all(|task| !task.is_finished()));
     waiting.iter().for_each(tokio::task::JoinHandle::abort);
@@ -124,10 +130,10 @@
             });
         }
     });
-    let exchanger = HttpExchanger::new(Duration::from_secs(1));
+    let client = HttpBackendClient::new(Duration::from_secs(1));
     for _ in 0..2 {
-        let kind = Kind::Run { key: "key".to_owned() };
-        exchanger.exchange(request(addr, kind, Duration::from_secs(5))).await.unwrap();
+        let kind = RequestKind::Run { key: "key".to_owned() };
+        client.exchange(request(addr, kind, Duration::from_secs(5))).await.unwrap();
     }
     server.await.unwrap();
 }
--- a/crates/backend/tests/pool.rs
+++ b/crates/backend/tests/pool.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use eelgrasspier_backend::{Lanes, Offered, PartFailure, Send, WireAnswer};
+use eelgrasspier_backend::{ConnectionPool, DispatchFlag, ExchangeRequest, PartFailure, RawAnswer};
 use eelgrasspier_decide::verdict::Verdict;
 use http::Request;
 use http_body_util::Full;
@@ -51,12 +51,12 @@
     true
 }
 
-async fn get(pool: &Lanes, addr: SocketAddr) -> Result<WireAnswer, PartFailure> {
-    exchange(pool, send(addr)).await
+async fn get(pool: &ConnectionPool, addr: SocketAddr) -> Result<RawAnswer, PartFailure> {
+    exchange(pool, exchange_request(addr)).await
 }
 
-fn send(addr: SocketAddr) -> Send {
-    Send {
+fn exchange_request(addr: SocketAddr) -> ExchangeRequest {
+    ExchangeRequest {
         server: "i-1".into(),
         addr,
         request: Request::builder()
@@ -64,17 +64,20 @@
             .header("host", "h")
             .body(Full::new(Bytes::new()))
             .unwrap(),
-        most_connections: 2,
+        max_connections: 2,
         is_repeatable: true,
         time_left: Duration::from_secs(5),
         max_bytes: 1 << 16,
-        is_kept: true,
-        offered: Offered::default(),
+        keep_alive: true,
+        dispatched: DispatchFlag::default(),
     }
 }
 
-async fn exchange(pool: &Lanes, send: Send) -> Result<WireAnswer, PartFailure> {
-    let result = pool.exchange(send).await;
+async fn exchange(
+    pool: &ConnectionPool,
+    request: ExchangeRequest,
+) -> Result<RawAnswer, PartFailure> {
+    let result = pool.exchange(request).await;
     // The connection returns to the pool once its driver has seen the end of the answer.
     tokio::time::sleep(Duration::from_millis(20)).await;
     result
@@ -85,7 +88,7 @@
 #[actix_rt::test]
 async fn a_connection_is_reused_after_a_complete_answer() {
     let (addr, connections) = server(&[COMPLETE_ANSWER, COMPLETE_ANSWER, COMPLETE_ANSWER]).await;
-    let pool = Lanes::default();
+    let pool = ConnectionPool::default();
     for _ in 0..3 {
         assert_eq!(&get(&pool, addr).await.unwrap().body[..], b"whole");
     }
@@ -99,9 +102,9 @@
 #[actix_rt::test]
 async fn a_connection_without_keep_alive_is_closed_after_the_answer() {
     let (addr, connections) = server(&[COMPLETE_ANSWER, COMPLETE_ANSWER, COMPLETE_ANSWER]).await;
-    let pool = Lanes::default();
+    let pool = ConnectionPool::default();
     for _ in 0..3 {
-        let once = Send { is_kept: false, ..send(addr) };
+        let once = ExchangeRequest { keep_alive: false, ..exchange_request(addr) };
         assert_eq!(&exchange(&pool, once).await.unwrap().body[..], b"whole");
         assert_eq!(pool.open_connections("i-1"), 0);
     }
@@ -118,7 +121,7 @@
         "",
     ];
     let (addr, _) = server(answers).await;
-    let pool = Lanes::default();
+    let pool = ConnectionPool::default();
     for _ in answers {
         let failure = get(&pool, addr).await.unwrap_err();
         assert_eq!(failure.verdict(), Verdict::MayHaveRun, "{failure}");
@@ -132,7 +135,7 @@
 async fn a_connection_with_bytes_after_the_answer_is_not_reused() {
     let two_answers = "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nwholeHTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nother";
     let (addr, connections) = server(Box::leak(Box::new([two_answers, COMPLETE_ANSWER]))).await;
-    let pool = Lanes::default();
+    let pool = ConnectionPool::default();
     assert_eq!(&get(&pool, addr).await.unwrap().body[..], b"whole");
     assert_eq!(&get(&pool, addr).await.unwrap().body[..], b"whole");
     assert_eq!(*connections.borrow(), 2);
@@ -141,7 +144,7 @@
 #[actix_rt::test]
 async fn an_answer_without_a_length_ends_with_an_orderly_close() {
     let (addr, _) = server(&["HTTP/1.1 200 OK\r\n\r\nuntil the end!"]).await;
-    assert_eq!(&get(&Lanes::default(), addr).await.unwrap().body[..], b"until the end");
+    assert_eq!(&get(&ConnectionPool::default(), addr).await.unwrap().body[..], b"until the end");
 }
 
 #[actix_rt::test]
@@ -149,7 +152,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     drop(listener);
-    let failure = get(&Lanes::default(), addr).await.unwrap_err();
+    let failure = get(&ConnectionPool::default(), addr).await.unwrap_err();
     assert_eq!(failure.verdict(), Verdict::NotRun, "{failure}");
 }
 
@@ -168,20 +171,20 @@
     while let Ok(Ok(stream)) = tokio::time::timeout(once, TcpStream::connect(addr)).await {
         queued.push(stream);
     }
-    let pool = Lanes::default();
-    let offered = Offered::default();
-    let send = Send {
+    let pool = ConnectionPool::default();
+    let dispatched = DispatchFlag::default();
+    let request = ExchangeRequest {
         server: "i-1".into(),
         addr,
         request: Request::builder().uri("/x").body(Full::default()).unwrap(),
-        most_connections: 2,
+        max_connections: 2,
         is_repeatable: true,
         time_left: once,
         max_bytes: 1 << 16,
-        is_kept: true,
-        offered: offered.clone(),
+        keep_alive: true,
+        dispatched: dispatched.clone(),
     };
-    let failure = pool.exchange(send).await.unwrap_err();
+    let failure = pool.exchange(request).await.unwrap_err();
     assert_eq!(failure.verdict(), Verdict::NotRun, "{failure}");
-    assert!(!offered.is_marked());
+    assert!(!dispatched.is_set());
 }
--- a/crates/eelgrasspier/src/crash_tracker.rs
+++ b/crates/eelgrasspier/src/crash_tracker.rs
@@ -94,7 +94,7 @@
         }
         let shared = SharedRef::clone(&self.shared);
         actix_rt::spawn(async move {
-            let has_crashed = eelgrasspier_backend::has_ended(addr).await;
+            let has_crashed = eelgrasspier_backend::refuses_connections(addr).await;
             shared.record_crash_check(server, has_crashed);
         });
     }
--- a/crates/eelgrasspier/src/exchange.rs
+++ b/crates/eelgrasspier/src/exchange.rs
@@ -5,7 +5,7 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-use eelgrasspier_backend::{Exchanger, PartAnswer, PartFailure, PartFuture};
+use eelgrasspier_backend::{BackendClient, PartAnswer, PartFailure, PartFuture};
 
 use crate::replica::{ConnectionKind, Permit, Replica};
 
@@ -24,7 +24,7 @@
     exchange: PartFuture<PartAnswer>,
     permit: Permit,
     id: String,
-    exchanger: Rc<dyn Exchanger>,
+    client: Rc<dyn BackendClient>,
     started: Instant,
     /// Start time in milliseconds since the process started.
     started_ms: u64,
@@ -42,11 +42,11 @@
         exchange: PartFuture<PartAnswer>,
         permit: Permit,
         id: String,
-        exchanger: Rc<dyn Exchanger>,
+        client: Rc<dyn BackendClient>,
         started_ms: u64,
     ) -> Self {
         let started = Instant::now();
-        Self { state: Some(ExchangeState { exchange, permit, id, exchanger, started, started_ms }) }
+        Self { state: Some(ExchangeState { exchange, permit, id, client, started, started_ms }) }
     }
 }
 
@@ -81,7 +81,7 @@
     let replica = state.permit.replica();
     let addr = replica.spec.addr;
     let cancellation = replica.acquire(ConnectionKind::Query).map(|permit| {
-        let cancel = state.exchanger.cancel(addr, &state.id, CANCEL_TIMEOUT);
+        let cancel = state.client.cancel(addr, &state.id, CANCEL_TIMEOUT);
         async move {
             drop(cancel.await);
             drop(permit);
--- a/crates/eelgrasspier/src/part.rs
+++ b/crates/eelgrasspier/src/part.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use displaydoc::Display;
-use eelgrasspier_backend::{Kind, PartFailure, PartRequest};
+use eelgrasspier_backend::{PartFailure, PartRequest, RequestKind};
 use eelgrasspier_decide::prelude::ShardId;
 use eelgrasspier_decide::replica::{self, Candidate};
 use eelgrasspier_decide::snapshot::{HeldVersion, Snapshot};
@@ -288,7 +288,7 @@
         self.tried.push(replica.spec.id);
         let request = PartRequest {
             addr: replica.spec.addr,
-            kind: Kind::Query,
+            kind: RequestKind::Query,
             service: Rc::clone(&context.service.name),
             shard: self.shard,
             version: Some(context.snapshot.version),
@@ -297,13 +297,13 @@
             body: context.body.clone(),
             max_bytes: context.service.spec.max_part_bytes,
         };
-        let exchanger = context.traffic.exchanger();
-        let exchange = exchanger.exchange(request);
+        let client = context.traffic.backend_client();
+        let exchange = client.exchange(request);
         self.in_flight.push(PendingExchange::new(
             exchange,
             permit,
             id,
-            exchanger,
+            client,
             context.traffic.shared.now_ms(),
         ));
         count_exchange(cause);
--- a/crates/eelgrasspier/src/replica.rs
+++ b/crates/eelgrasspier/src/replica.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-use eelgrasspier_backend::Report;
+use eelgrasspier_backend::ServerReport;
 use eelgrasspier_decide::draining::{DrainingServers, ServerIncarnation};
 use eelgrasspier_decide::replica::ReplicaLoad;
 use eelgrasspier_decide::service_config::ReplicaSpec;
@@ -30,7 +30,7 @@
     pub(crate) load: RefCell<ReplicaLoad>,
     limits: [Cell<u32>; 2],
     used: [Cell<u32>; 2],
-    report: RefCell<Report>,
+    report: RefCell<ServerReport>,
     last_contact_ms: Cell<Option<u64>>,
     consecutive_failures: Cell<u32>,
     /// Wakes tasks that wait for a free connection.
@@ -117,14 +117,16 @@
     }
 
     /// Applies the report that came with an answer.
-    pub(crate) fn apply_report(&self, report: &Report, now_ms: u64) -> ReportChange {
+    pub(crate) fn apply_report(&self, report: &ServerReport, now_ms: u64) -> ReportChange {
         self.last_contact_ms.set(Some(now_ms));
         let is_recovered = self.consecutive_failures.replace(0) >= FAILURES_UNTIL_DOWN;
         let mut known = self.report.borrow_mut();
         let is_same_incarnation = known.incarnation == report.incarnation;
         let is_leaving = report.is_draining && !(is_same_incarnation && known.is_draining);
-        let is_changed =
-            known.held != report.held || !is_same_incarnation || is_leaving || is_recovered;
+        let is_changed = known.held_versions != report.held_versions
+            || !is_same_incarnation
+            || is_leaving
+            || is_recovered;
         if is_changed {
             known.clone_from(report);
         }
@@ -152,7 +154,7 @@
 
     /// Returns true if the replica reports this version with this shard count.
     pub(crate) fn holds(&self, held: HeldVersion) -> bool {
-        self.report.borrow().held.contains(&held)
+        self.report.borrow().held_versions.contains(&held)
     }
 
     /// Returns true if the replica holds this version or has not reported yet.
@@ -167,7 +169,7 @@
 
     /// Returns the versions that the replica reports.
     pub(crate) fn held(&self) -> Vec<HeldVersion> {
-        self.report.borrow().held.clone()
+        self.report.borrow().held_versions.clone()
     }
 
     /// Returns the time of the last contact, in milliseconds since this process started.
--- a/crates/eelgrasspier/src/run.rs
+++ b/crates/eelgrasspier/src/run.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use eelgrasspier_backend::{Kind, PartFailure, PartRequest};
+use eelgrasspier_backend::{PartFailure, PartRequest, RequestKind};
 use eelgrasspier_caller::{RunAnswer, RunCall};
 use eelgrasspier_decide::claim::{Attempt, ClaimResult, Nonce};
 use eelgrasspier_decide::prelude::{Refusal, RefusalReason, ShardId, Verdict};
@@ -239,7 +239,7 @@
     async fn send(&self, traffic: &TrafficThread, permit: Permit) -> CompletedExchange {
         let request = PartRequest {
             addr: permit.replica().spec.addr,
-            kind: Kind::Run { key: self.call.key_text.clone() },
+            kind: RequestKind::Run { key: self.call.key_text.clone() },
             service: Rc::clone(&self.service.name),
             shard: self.target_shard().unwrap_or_default(),
             version: None,
@@ -248,10 +248,10 @@
             body: self.body.clone(),
             max_bytes: self.service.spec.max_part_bytes,
         };
-        let exchanger = traffic.exchanger();
-        let exchange = exchanger.exchange(request);
+        let client = traffic.backend_client();
+        let exchange = client.exchange(request);
         let started_ms = traffic.shared.now_ms();
-        PendingExchange::new(exchange, permit, self.request_id.to_string(), exchanger, started_ms)
+        PendingExchange::new(exchange, permit, self.request_id.to_string(), client, started_ms)
             .await
     }
 }
--- a/crates/eelgrasspier/src/service.rs
+++ b/crates/eelgrasspier/src/service.rs
@@ -66,9 +66,11 @@
     /// Updates the gauges of allowed and used connections.
     pub(crate) fn set_gauges(&self) {
         let replicas = || self.shards.iter().flatten();
-        let lanes = [ConnectionKind::Query, ConnectionKind::Run];
-        let allowed: u32 = replicas().map(|r| lanes.map(|l| r.limit(l)).iter().sum::<u32>()).sum();
-        let used: u32 = replicas().map(|r| lanes.map(|l| r.used(l)).iter().sum::<u32>()).sum();
+        let kinds = [ConnectionKind::Query, ConnectionKind::Run];
+        let allowed: u32 =
+            replicas().map(|r| kinds.map(|kind| r.limit(kind)).iter().sum::<u32>()).sum();
+        let used: u32 =
+            replicas().map(|r| kinds.map(|kind| r.used(kind)).iter().sum::<u32>()).sum();
         let service = self.spec.name.clone();
         metrics::gauge!("eelgrasspier_connections_allowed", "service" => service.clone())
             .set(f64::from(allowed));
--- a/crates/eelgrasspier/src/traffic.rs
+++ b/crates/eelgrasspier/src/traffic.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use eelgrasspier_backend::{Exchanger, HttpExchanger, PartFailure, Report};
+use eelgrasspier_backend::{BackendClient, HttpBackendClient, PartFailure, ServerReport};
 use eelgrasspier_decide::draining::DrainingServers;
 use eelgrasspier_decide::prelude::Service;
 use eelgrasspier_decide::service_config::ReplicaSpec;
@@ -42,7 +42,7 @@
     /// Wakes tasks that wait for a free connection.
     pub(crate) connection_freed: Rc<Notify>,
     thread_index: u32,
-    exchanger: RefCell<Rc<dyn Exchanger>>,
+    backend_client: RefCell<Rc<dyn BackendClient>>,
     replicas: RefCell<HashMap<u64, Rc<Replica>>>,
     services: RefCell<HashMap<String, Rc<ServiceState>>>,
     /// Maintenance rounds spent waiting for snapshots; `None` once this thread counts as warm.
@@ -74,7 +74,7 @@
             view: RefCell::default(),
             connection_freed: Rc::default(),
             thread_index,
-            exchanger: RefCell::new(Rc::new(HttpExchanger::new(CONNECT_TIMEOUT))),
+            backend_client: RefCell::new(Rc::new(HttpBackendClient::new(CONNECT_TIMEOUT))),
             replicas: RefCell::default(),
             services: RefCell::default(),
             warmup_rounds: Cell::new(Some(0)),
@@ -91,8 +91,8 @@
         self.services.borrow().get(name).cloned()
     }
 
-    pub(crate) fn exchanger(&self) -> Rc<dyn Exchanger> {
-        Rc::clone(&self.exchanger.borrow())
+    pub(crate) fn backend_client(&self) -> Rc<dyn BackendClient> {
+        Rc::clone(&self.backend_client.borrow())
     }
 
     /// Returns the newest complete snapshot, or else the one with the most reachable shards.
@@ -147,7 +147,7 @@
         }
     }
 
-    fn apply_report(&self, replica: &Replica, report: &Report) {
+    fn apply_report(&self, replica: &Replica, report: &ServerReport) {
         let ReportChange { is_changed, leaving, is_recovered } =
             replica.apply_report(report, self.shared.now_ms());
         if is_changed {
@@ -185,7 +185,7 @@
         if has_shrunk {
             // Dropping the old pool closes idle connections beyond the share, so that another
             // instance can use them.
-            *self.exchanger.borrow_mut() = Rc::new(HttpExchanger::new(CONNECT_TIMEOUT));
+            *self.backend_client.borrow_mut() = Rc::new(HttpBackendClient::new(CONNECT_TIMEOUT));
         }
         self.open_connections(has_shrunk);
     }
@@ -268,7 +268,7 @@
     fn probe(self: &Rc<Self>, replica: &Rc<Replica>) {
         let Some(permit) = replica.acquire(ConnectionKind::Query) else { return };
         let traffic = Rc::clone(self);
-        let exchange = self.exchanger().probe(replica.spec.addr, PROBE_TIMEOUT);
+        let exchange = self.backend_client().probe(replica.spec.addr, PROBE_TIMEOUT);
         actix_rt::spawn(async move {
             let result = exchange.await;
             match &result {
--- a/crates/router/src/backend.rs
+++ b/crates/router/src/backend.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use eelgrasspier_backend::{Offered, PartFailure};
+use eelgrasspier_backend::{DispatchFlag, PartFailure};
 use eelgrasspier_decide::directory::ReplicaEntry;
 use http::{HeaderMap, StatusCode};
 
@@ -23,13 +23,13 @@
     /// Time left until the deadline.
     pub time_left: Duration,
     /// Maximum number of open connections to the replica.
-    pub most_connections: u32,
+    pub max_connections: u32,
     /// True if the connection is kept open for further requests.
-    pub is_connection_kept: bool,
+    pub keep_alive: bool,
     /// True if the request may run more than once.
     pub is_idempotent: bool,
     /// Set once the request has been handed to a connection.
-    pub offered: Offered,
+    pub dispatched: DispatchFlag,
 }
 
 /// A replica's complete answer to a request.
@@ -55,16 +55,20 @@
     /// Sends a request and reads the complete answer.
     fn send(&self, attempt: Attempt) -> BackendFuture<Reply>;
 
-    /// True if a request can be sent immediately within `most_connections` connections.
-    fn has_room(&self, replica: &str, most_connections: u32) -> bool;
+    /// True if a request can be sent immediately within `max_connections` connections.
+    fn has_capacity(&self, replica: &str, max_connections: u32) -> bool;
 
     /// Opens a connection to a replica in advance.
-    fn warm(&self, replica: Arc<ReplicaEntry>, most_connections: u32) -> BackendFuture<()>;
+    fn preconnect(&self, replica: Arc<ReplicaEntry>, max_connections: u32) -> BackendFuture<()>;
 
     /// Checks whether a replica accepts connections.
     ///
     /// Fails with [`PartFailure::NotListening`] if its process has ended.
-    fn reach(&self, replica: Arc<ReplicaEntry>, most_connections: u32) -> BackendFuture<()>;
+    fn check_listening(
+        &self,
+        replica: Arc<ReplicaEntry>,
+        max_connections: u32,
+    ) -> BackendFuture<()>;
 
     /// Drops the state of replicas that are not in `ids`.
     fn retain(&self, ids: &HashSet<Arc<str>>);
--- a/crates/router/src/connections.rs
+++ b/crates/router/src/connections.rs
@@ -29,7 +29,7 @@
                 let is_new =
                     |e: &&Arc<ReplicaEntry>| !connected.contains(&e.id) && is_connected_directly(e);
                 for entry in entries().filter(is_new) {
-                    self.warm(&view, entry);
+                    self.preconnect(&view, entry);
                 }
                 connected = if view.is_gatherer { ids } else { HashSet::new() };
             }
@@ -37,13 +37,13 @@
         }
     }
 
-    fn warm(&self, view: &View, entry: &Arc<ReplicaEntry>) {
+    fn preconnect(&self, view: &View, entry: &Arc<ReplicaEntry>) {
         let max_connections =
             view.most_connections(&entry.zone, view.accepted_connections(&entry.service));
-        let warming = self.backend.warm(Arc::clone(entry), max_connections);
+        let preconnecting = self.backend.preconnect(Arc::clone(entry), max_connections);
         let id = Arc::clone(&entry.id);
         actix_rt::spawn(async move {
-            if let Err(error) = warming.await {
+            if let Err(error) = preconnecting.await {
                 log::info!("event=not_warmed replica={id} cause={error:?}");
             }
         });
--- a/crates/router/src/gather/mod.rs
+++ b/crates/router/src/gather/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use actix_rt::task::JoinHandle;
-use eelgrasspier_backend::{Offered, PartFailure};
+use eelgrasspier_backend::{DispatchFlag, PartFailure};
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::route::Route;
 use eelgrasspier_decide::wait_policy::{GatherState, WaitDecision};
@@ -125,7 +125,7 @@
     timing: Timing,
     tasks: InFlightTasks,
     /// Flags of sends and relay requests that may have been written to a connection.
-    write_flags: Vec<Offered>,
+    write_flags: Vec<DispatchFlag>,
     events: mpsc::UnboundedReceiver<Event>,
     event_sender: mpsc::UnboundedSender<Event>,
     /// Liveness probes that are scheduled for instances with relayed shards.
@@ -206,7 +206,7 @@
             self.handle_events(now_ms, wait_until_ms).await;
         };
         // A request that is in flight may still run, so it must not be reported as not run.
-        self.gathered.may_have_run |= self.write_flags.iter().any(Offered::is_marked);
+        self.gathered.may_have_run |= self.write_flags.iter().any(DispatchFlag::is_set);
         if !is_given_up {
             self.tasks.detach_sends();
         }
--- a/crates/router/src/gather/relay.rs
+++ b/crates/router/src/gather/relay.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use eelgrasspier_backend::Offered;
+use eelgrasspier_backend::DispatchFlag;
 use eelgrasspier_decide::admission;
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::gatherers::{self, Candidate};
@@ -208,14 +208,14 @@
         self.probes.push(Probe { peer: peer.clone(), shards: shards.clone(), at_ms });
         let peer_request = self.peer_request(&shards, now_ms, options);
         let time_left = Duration::from_millis(self.deadlines.limit_at_ms.saturating_sub(now_ms));
-        let offered = Offered::default();
-        self.write_flags.push(offered.clone());
+        let dispatched = DispatchFlag::default();
+        self.write_flags.push(dispatched.clone());
         let answer = Rc::clone(self.router).send_to_peer(
             peer.clone(),
             peer_request,
             time_left,
             Rc::clone(&self.route_state),
-            offered.clone(),
+            dispatched.clone(),
         );
         let event_sender = self.event_sender.clone();
         let (peer, zone) = (Arc::clone(&peer.name), Arc::clone(&peer.zone));
@@ -223,7 +223,7 @@
         self.tasks.peer_requests.push(actix_rt::spawn(async move {
             let result = answer.await;
             if cannot_have_run(&result) {
-                offered.clear();
+                dispatched.clear();
             }
             let relay_result =
                 RelayResult { peer, zone, shards, is_whole: options.is_whole, result };
--- a/crates/router/src/gather/send.rs
+++ b/crates/router/src/gather/send.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use eelgrasspier_backend::{Offered, PartFailure};
+use eelgrasspier_backend::{DispatchFlag, PartFailure};
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::prelude::Verdict;
 
@@ -64,11 +64,11 @@
             self.router.cost_ms(r, &self.timing, budget_used) + permission_ms
         };
         let costs: Vec<_> = self.eligible_replicas(shard).map(|r| (cost_ms(r), r)).collect();
-        let has_room = |r: &ReplicaEntry| {
+        let has_capacity = |r: &ReplicaEntry| {
             let max_connections = self.view.most_connections(&r.zone, shard.accepted_connections);
-            self.router.backend.has_room(&r.id, max_connections)
+            self.router.backend.has_capacity(&r.id, max_connections)
         };
-        let free = costs.iter().filter(|(_, r)| has_room(r));
+        let free = costs.iter().filter(|(_, r)| has_capacity(r));
         let (cost_ms, replica) = *free.min_by(|a, b| a.0.total_cmp(&b.0))?;
         let is_best = costs.iter().all(|(other_ms, _)| *other_ms >= cost_ms);
         (is_best || self.meets_target(replica)).then_some(replica)
@@ -131,15 +131,15 @@
         shard.hedge_at_ms = can_hedge.then_some(now_ms + hedge_delay_ms);
         self.gathered.far += u32::from(replica.zone != self.router.zone);
         let left_ms = self.deadlines.limit_at_ms.saturating_sub(now_ms);
-        let offered = Offered::default();
-        self.write_flags.push(offered.clone());
+        let dispatched = DispatchFlag::default();
+        self.write_flags.push(dispatched.clone());
         let attempt = Attempt {
-            offered: offered.clone(),
-            most_connections: self.view.most_connections(&replica.zone, shard.accepted_connections),
+            dispatched: dispatched.clone(),
+            max_connections: self.view.most_connections(&replica.zone, shard.accepted_connections),
             replica: Arc::clone(&replica),
             request: Rc::clone(self.request),
             time_left: Duration::from_millis(left_ms),
-            is_connection_kept: self.view.keeps_connections(),
+            keep_alive: self.view.keeps_connections(),
             is_idempotent: self.route.is_idempotent,
         };
         let event_sender = self.event_sender.clone();
@@ -165,7 +165,7 @@
                 Err(PartFailure::NotReached("no permission to send to the cold replica".to_owned()))
             };
             if result.as_ref().is_err_and(|failure| failure.verdict() == Verdict::NotRun) {
-                offered.clear();
+                dispatched.clear();
             }
             let replica = Arc::clone(&replica.id);
             // The receiver is closed once the request has been answered.
--- a/crates/router/src/losses.rs
+++ b/crates/router/src/losses.rs
@@ -41,7 +41,8 @@
         let view = self.shared.view.load_full();
         let accepted = view.accepted_connections(&replica.service);
         let max_connections = view.most_connections(&replica.zone, accepted);
-        let listens = match self.backend.reach(Arc::clone(replica), max_connections).await {
+        let listens = match self.backend.check_listening(Arc::clone(replica), max_connections).await
+        {
             Ok(()) => "yes",
             Err(PartFailure::NotListening) => "no",
             Err(_) => "unknown",
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use eelgrasspier_backend::Offered;
+use eelgrasspier_backend::DispatchFlag;
 use eelgrasspier_decide::gatherers::{self, Candidate};
 use eelgrasspier_decide::merge::TopRecords;
 use eelgrasspier_decide::route::{Route, Target};
@@ -77,7 +77,7 @@
         peer_request: Body,
         time_left: Duration,
         state: Rc<RouteState>,
-        offered: Offered,
+        dispatched: DispatchFlag,
     ) -> Result<wire::Gathered, PeerError> {
         let replica_stats = self.stats(&peer_key(&peer.name));
         let typical_ms = state.typical_relay_ms();
@@ -86,7 +86,7 @@
         let is_cross_zone = peer.zone != self.zone;
         zone_bytes::count(Cause::Gather, is_cross_zone, peer_request.encoded_len());
         let result =
-            self.links.ask_noting(peer.addr, peer_request, time_left, || offered.mark()).await;
+            self.links.ask_noting(peer.addr, peer_request, time_left, || dispatched.set()).await;
         drop(guard);
         let took = started.elapsed();
         metrics::histogram!("eelgrasspier_relay_seconds").record(took.as_secs_f64());
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -150,16 +150,16 @@
         })
     }
 
-    fn has_room(&self, replica: &str, most_connections: u32) -> bool {
+    fn has_capacity(&self, replica: &str, max_connections: u32) -> bool {
         let full = self.0.full.borrow();
-        most_connections > 0 && !full.contains(replica)
+        max_connections > 0 && !full.contains(replica)
     }
 
-    fn warm(&self, _: Arc<ReplicaEntry>, _: u32) -> BackendFuture<()> {
+    fn preconnect(&self, _: Arc<ReplicaEntry>, _: u32) -> BackendFuture<()> {
         Box::pin(std::future::ready(Ok(())))
     }
 
-    fn reach(&self, replica: Arc<ReplicaEntry>, _: u32) -> BackendFuture<()> {
+    fn check_listening(&self, replica: Arc<ReplicaEntry>, _: u32) -> BackendFuture<()> {
         let has_ended = self.0.ended.borrow().contains(&*replica.id);
         let result = if has_ended { Err(PartFailure::NotListening) } else { Ok(()) };
         Box::pin(async move {
@@ -174,7 +174,7 @@
 async fn perform(conduct: Conduct, replica: &str, attempt: &Attempt) -> Result<Reply, PartFailure> {
     let pause = |ms| tokio::time::sleep(Duration::from_millis(ms));
     if conduct != Conduct::Unreached {
-        attempt.offered.mark();
+        attempt.dispatched.set();
     }
     match conduct {
         Conduct::Answers(ms) => pause(ms).await,
