--- a/crates/eelgrasspier/src/control/claims.rs
+++ b/crates/eelgrasspier/src/control/claims.rs
@@ -6,7 +6,7 @@
 use eelgrasspier_decide::claim::{ClaimResult, Key, Nonce};
 use eelgrasspier_decide::membership::InstanceState;
 use eelgrasspier_decide::rendezvous;
-use eelgrasspier_peer::wire::{Body, Claim, ClaimOutcome, Claimed};
+use eelgrasspier_peer::wire::{Body, ClaimOutcome, ClaimRequest, Claimed};
 use eelgrasspier_store::ClaimError;
 
 use super::Control;
@@ -64,13 +64,14 @@
         timeout: Duration,
     ) -> Option<ClaimResult> {
         let time_left_ms = u64::try_from(timeout.as_millis()).unwrap_or(0);
-        let claim = Claim {
+        let claim = ClaimRequest {
             key_high: u64::try_from(key.0 >> HALF_BITS).unwrap_or_default(),
             key_low: u64::try_from(key.0 & u128::from(u64::MAX)).unwrap_or_default(),
             nonce,
             time_left_ms,
         };
-        let Ok(Body::Claimed(claimed)) = self.links.ask(owner, Body::Claim(claim), timeout).await
+        let Ok(Body::Claimed(claimed)) =
+            self.peer_connections.request(owner, Body::Claim(claim), timeout).await
         else {
             return None;
         };
@@ -83,7 +84,7 @@
     }
 
     /// Claims a key on behalf of another instance.
-    pub(super) async fn claim_for_peer(&self, claim: Claim) -> Claimed {
+    pub(super) async fn claim_for_peer(&self, claim: ClaimRequest) -> Claimed {
         let key = Key((u128::from(claim.key_high) << HALF_BITS) | u128::from(claim.key_low));
         let until = Instant::now() + Duration::from_millis(claim.time_left_ms);
         let outcome = match self.claims.claim_on_behalf(key, claim.nonce, until).await {
--- a/crates/eelgrasspier/src/control/mod.rs
+++ b/crates/eelgrasspier/src/control/mod.rs
@@ -18,7 +18,7 @@
 use eelgrasspier_decide::prelude::Services;
 use eelgrasspier_decide::quarantine::Report;
 use eelgrasspier_decide::share::Agreement;
-use eelgrasspier_peer::Links;
+use eelgrasspier_peer::PeerConnections;
 use eelgrasspier_store::{Claims, HttpStore, ObjectStore};
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, mpsc, oneshot};
@@ -36,7 +36,7 @@
 pub(crate) struct Control {
     shared: SharedRef,
     store: Rc<dyn ObjectStore>,
-    links: Links,
+    peer_connections: PeerConnections,
     claims: Claims,
     membership: RefCell<Membership>,
     agreement: RefCell<Agreement>,
@@ -82,7 +82,7 @@
         sockets: Sockets,
         requests: mpsc::UnboundedReceiver<ControlRequest>,
     ) -> std::io::Result<()> {
-        let (gossip, received) = eelgrasspier_peer::Gossip::bind(sockets.peer_addr).await?;
+        let (gossip, received) = eelgrasspier_peer::GossipSender::bind(sockets.peer_addr).await?;
         let (outbox, outgoing) = mpsc::unbounded_channel();
         let settings = &shared.settings;
         let store: Rc<dyn ObjectStore> =
@@ -90,7 +90,9 @@
         let clock_owner = Arc::clone(&shared);
         let member = own_member(&shared, &sockets);
         let control = Rc::new(Self {
-            links: Links::new(Rc::new(move || clock_owner.timeline.clock().stamp())),
+            peer_connections: PeerConnections::new(Rc::new(move || {
+                clock_owner.timeline.clock().stamp()
+            })),
             claims: Claims::new(Rc::clone(&store)),
             store,
             agreement: RefCell::new(Agreement::new(member.key())),
--- a/crates/eelgrasspier/src/control/peers.rs
+++ b/crates/eelgrasspier/src/control/peers.rs
@@ -1,7 +1,7 @@
 //! Answers to requests from other instances.
 
 use bytes::Bytes;
-use eelgrasspier_peer::wire::{Body, Parts, Text};
+use eelgrasspier_peer::wire::{Body, QueryPartsRequest, Text};
 use eelgrasspier_peer::{AnswerFuture, PeerService};
 use tokio::sync::oneshot;
 
@@ -15,8 +15,8 @@
                 Body::TextAbove(version) => Body::Text(self.text_above(version)),
                 Body::Claim(claim) => Body::Claimed(self.claim_for_peer(claim).await),
                 Body::StatusAsk(_) => Body::Status(to_json(&self.own_status())),
-                Body::EventsAsk(ask) => {
-                    let events = self.shared.timeline.entries(&ask.about, ask.from_stamp);
+                Body::EventsAsk(request) => {
+                    let events = self.shared.timeline.entries(&request.about, request.from_stamp);
                     Body::Events(to_json(&events))
                 }
                 Body::Parts(parts) => self.forward_parts(parts).await,
@@ -29,7 +29,7 @@
         self.shared.timeline.clock().stamp()
     }
 
-    fn observe(&self, stamp: u64) {
+    fn observe_stamp(&self, stamp: u64) {
         self.shared.timeline.clock().observe(stamp);
     }
 }
@@ -45,7 +45,7 @@
     }
 
     /// Forwards a request for parts from another instance to a traffic thread.
-    async fn forward_parts(&self, parts: Parts) -> Body {
+    async fn forward_parts(&self, parts: QueryPartsRequest) -> Body {
         let (reply, answer) = oneshot::channel();
         if let Some(parts_sender) = self.shared.parts_sender(rand::random()) {
             drop(parts_sender.send(PartsRequest { parts, reply }));
--- a/crates/eelgrasspier/src/control/status.rs
+++ b/crates/eelgrasspier/src/control/status.rs
@@ -6,7 +6,7 @@
 
 use eelgrasspier_decide::membership::Member;
 use eelgrasspier_operator::{InstanceStatus, TimelineEntry};
-use eelgrasspier_peer::wire::{Body, EventsAsk, Nothing};
+use eelgrasspier_peer::wire::{Body, Empty, EventsRequest};
 use futures_util::StreamExt;
 use futures_util::stream;
 use serde::de::DeserializeOwned;
@@ -44,7 +44,7 @@
     pub(super) async fn all_status(&self) -> Vec<InstanceStatus> {
         let others: Vec<Member> = self.membership.borrow().live_peers().cloned().collect();
         let requests = others.iter().map(|member| async move {
-            let answer = self.request_json(member, Body::StatusAsk(Nothing {})).await;
+            let answer = self.request_json(member, Body::StatusAsk(Empty {})).await;
             answer.unwrap_or_else(|| unreachable_status(member))
         });
         let mut all: Vec<InstanceStatus> =
@@ -58,8 +58,8 @@
     pub(super) async fn all_events(&self, about: &str, from_stamp: u64) -> Vec<TimelineEntry> {
         let others: Vec<Member> = self.membership.borrow().live_peers().cloned().collect();
         let requests = others.iter().map(|member| {
-            let ask = EventsAsk { about: about.to_owned(), from_stamp };
-            self.request_json::<Vec<TimelineEntry>>(member, Body::EventsAsk(ask))
+            let request = EventsRequest { about: about.to_owned(), from_stamp };
+            self.request_json::<Vec<TimelineEntry>>(member, Body::EventsAsk(request))
         });
         let answers: Vec<_> =
             stream::iter(requests).buffer_unordered(MAX_CONCURRENT_REQUESTS).collect().await;
@@ -71,7 +71,7 @@
 
     async fn request_json<T: DeserializeOwned>(&self, member: &Member, body: Body) -> Option<T> {
         let addr: SocketAddr = member.peer_addr.parse().ok()?;
-        match self.links.ask(addr, body, REQUEST_TIMEOUT).await {
+        match self.peer_connections.request(addr, body, REQUEST_TIMEOUT).await {
             Ok(Body::Status(json) | Body::Events(json)) => serde_json::from_slice(&json).ok(),
             _ => None,
         }
--- a/crates/eelgrasspier/src/control/text.rs
+++ b/crates/eelgrasspier/src/control/text.rs
@@ -184,7 +184,8 @@
         let control = Rc::clone(self);
         let name = member.name.clone();
         actix_rt::spawn(async move {
-            let reply = control.links.ask(addr, Body::TextAbove(own), FETCH_TIMEOUT).await;
+            let reply =
+                control.peer_connections.request(addr, Body::TextAbove(own), FETCH_TIMEOUT).await;
             if let Ok(Body::Text(text)) = reply {
                 if text.version > 0 {
                     control.apply_text(text.version, text.stored, &name);
--- a/crates/eelgrasspier/src/forward.rs
+++ b/crates/eelgrasspier/src/forward.rs
@@ -15,7 +15,7 @@
 use eelgrasspier_decide::rendezvous;
 use eelgrasspier_decide::slice_peers::{self, SlicePeer};
 use eelgrasspier_decide::snapshot::Snapshot;
-use eelgrasspier_peer::wire::{Body, Missed, Part, Parts, PartsDone};
+use eelgrasspier_peer::wire::{Body, Missed, Part, PartsDone, QueryPartsRequest};
 use tokio::sync::mpsc;
 
 use crate::crash_tracker::CrashTracker;
@@ -91,18 +91,18 @@
 ) -> ShardResults {
     let left = context.cutoff.saturating_duration_since(Instant::now());
     let time_left_ms = u64::try_from(left.saturating_sub(RESPONSE_MARGIN).as_millis()).unwrap_or(0);
-    let parts = Parts {
+    let parts = QueryPartsRequest {
         service: context.service.name.to_string(),
         request_id: context.request_id.to_string(),
         version: context.snapshot.version,
         shards: shards.clone(),
         time_left_ms,
         body: context.body.clone(),
-        is_last: forwarding == Forwarding::Forbidden,
+        forbids_forwarding: forwarding == Forwarding::Forbidden,
         is_trial: context.crash_tracker.is_trial(),
     };
     metrics::counter!("eelgrasspier_slices_asked_total").increment(1);
-    match context.traffic.links.ask(peer, Body::Parts(parts), left).await {
+    match context.traffic.peer_connections.request(peer, Body::Parts(parts), left).await {
         Ok(Body::PartsDone(reply)) => results_from_wire(reply),
         Ok(_) => all_missed(&shards, "peer refused"),
         Err(error) => all_missed(&shards, &error.to_string()),
@@ -160,9 +160,10 @@
     // Any connected instance will do; the others know no versions either.
     let mut shards = (0..service.spec.shards.len()).filter_map(|s| ShardId::try_from(s).ok());
     let peer = shards.find_map(|shard| pick_peer_for(traffic, service, shard, &[]))?;
-    let request = Parts { service: service.name.to_string(), ..Parts::default() };
+    let request =
+        QueryPartsRequest { service: service.name.to_string(), ..QueryPartsRequest::default() };
     let left = until.saturating_duration_since(Instant::now());
-    let answer = traffic.links.ask(peer, Body::Parts(request), left).await;
+    let answer = traffic.peer_connections.request(peer, Body::Parts(request), left).await;
     let Ok(Body::PartsDone(PartsDone { version, shard_count, .. })) = answer else { return None };
     let reachable = shard_count;
     (shard_count > 0).then_some(Snapshot { version, shard_count, reachable })
@@ -178,7 +179,7 @@
     })
 }
 
-async fn gather_for_peer(traffic: &Rc<TrafficThread>, parts: Parts) -> PartsDone {
+async fn gather_for_peer(traffic: &Rc<TrafficThread>, parts: QueryPartsRequest) -> PartsDone {
     if parts.version == 0 {
         return own_snapshot(traffic, &parts.service);
     }
@@ -201,7 +202,11 @@
         body: parts.body,
         snapshot,
         cutoff: Instant::now() + Duration::from_millis(parts.time_left_ms),
-        forwarding: if parts.is_last { Forwarding::Forbidden } else { Forwarding::HedgesOnly },
+        forwarding: if parts.forbids_forwarding {
+            Forwarding::Forbidden
+        } else {
+            Forwarding::HedgesOnly
+        },
         slowest_exchange: Cell::default(),
         crash_tracker,
     };
--- a/crates/eelgrasspier/src/run.rs
+++ b/crates/eelgrasspier/src/run.rs
@@ -54,8 +54,8 @@
 impl Drop for ClaimGuard<'_> {
     fn drop(&mut self) {
         if self.attempt == Attempt::Claimed {
-            let ask = ControlRequest::Release { key: self.run.call.key, nonce: self.nonce };
-            drop(self.traffic.shared.control.send(ask));
+            let request = ControlRequest::Release { key: self.run.call.key, nonce: self.nonce };
+            drop(self.traffic.shared.control.send(request));
         }
     }
 }
--- a/crates/eelgrasspier/src/shared.rs
+++ b/crates/eelgrasspier/src/shared.rs
@@ -10,7 +10,7 @@
 use eelgrasspier_decide::draining::ServerIncarnation;
 use eelgrasspier_decide::quarantine::Report;
 use eelgrasspier_operator::{InstanceStatus, SubmitAnswer, Submitted, TextResponse, TimelineEntry};
-use eelgrasspier_peer::wire::{Parts, PartsDone};
+use eelgrasspier_peer::wire::{PartsDone, QueryPartsRequest};
 use eelgrasspier_store::ClaimError;
 use tokio::sync::{mpsc, oneshot};
 
@@ -52,7 +52,7 @@
 /// Request for parts from another instance.
 #[derive(Debug)]
 pub(crate) struct PartsRequest {
-    pub(crate) parts: Parts,
+    pub(crate) parts: QueryPartsRequest,
     pub(crate) reply: oneshot::Sender<PartsDone>,
 }
 
--- a/crates/eelgrasspier/src/traffic.rs
+++ b/crates/eelgrasspier/src/traffic.rs
@@ -12,7 +12,7 @@
 use eelgrasspier_decide::prelude::Service;
 use eelgrasspier_decide::service_config::ReplicaSpec;
 use eelgrasspier_decide::snapshot::Snapshot;
-use eelgrasspier_peer::Links;
+use eelgrasspier_peer::PeerConnections;
 use tokio::sync::{Notify, mpsc};
 
 use crate::event;
@@ -37,7 +37,7 @@
 /// State of one traffic thread.
 pub(crate) struct TrafficThread {
     pub(crate) shared: SharedRef,
-    pub(crate) links: Links,
+    pub(crate) peer_connections: PeerConnections,
     pub(crate) view: RefCell<Arc<View>>,
     /// Wakes tasks that wait for a free connection.
     pub(crate) connection_freed: Rc<Notify>,
@@ -69,7 +69,9 @@
         };
         let clock_owner = Arc::clone(&shared);
         let traffic = Rc::new(Self {
-            links: Links::new(Rc::new(move || clock_owner.timeline.clock().stamp())),
+            peer_connections: PeerConnections::new(Rc::new(move || {
+                clock_owner.timeline.clock().stamp()
+            })),
             shared,
             view: RefCell::default(),
             connection_freed: Rc::default(),
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -38,12 +38,12 @@
 /// A connection on which a request timed out is closed, since it may never respond again: all
 /// requests on it would time out while new connections to the same address work.
 #[derive(Clone)]
-pub struct Links {
+pub struct PeerConnections {
     connections: Rc<RefCell<HashMap<SocketAddr, Rc<PeerConnection>>>>,
     stamp: Rc<dyn Fn() -> u64>,
 }
 
-impl std::fmt::Debug for Links {
+impl std::fmt::Debug for PeerConnections {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Links")
             .field("links", &self.connections.borrow().len())
@@ -72,7 +72,7 @@
     }
 }
 
-impl Links {
+impl PeerConnections {
     /// Creates an empty set of connections; `stamp` returns the clock stamp for an outgoing frame.
     #[must_use]
     pub fn new(stamp: Rc<dyn Fn() -> u64>) -> Self {
@@ -83,21 +83,21 @@
     ///
     /// # Errors
     /// Fails if the instance can't be reached or does not answer within `timeout`.
-    pub async fn ask(
+    pub async fn request(
         &self,
         addr: SocketAddr,
         body: Body,
         timeout: Duration,
     ) -> Result<Body, PeerError> {
-        self.ask_noting(addr, body, timeout, || ()).await
+        self.request_with_callback(addr, body, timeout, || ()).await
     }
 
-    /// Like [`Links::ask`], but calls `on_sent` once the request is handed to a connection.
+    /// Like [`PeerConnections::request`], but calls `on_sent` once the request is handed to a connection.
     ///
     /// # Errors
     /// Fails with [`PeerError::NotReached`] if the request was not sent, including when the timeout
     /// expires before that.
-    pub async fn ask_noting(
+    pub async fn request_with_callback(
         &self,
         addr: SocketAddr,
         body: Body,
@@ -105,7 +105,7 @@
         on_sent: impl Fn(),
     ) -> Result<Body, PeerError> {
         let was_sent = Cell::new(false);
-        let request = self.ask_without_timeout(addr, body, || {
+        let request = self.request_without_timeout(addr, body, || {
             was_sent.set(true);
             on_sent();
         });
@@ -116,7 +116,7 @@
         })
     }
 
-    async fn ask_without_timeout(
+    async fn request_without_timeout(
         &self,
         addr: SocketAddr,
         body: Body,
--- a/crates/peer/src/packed.rs
+++ b/crates/peer/src/compression.rs
@@ -21,7 +21,7 @@
 
 /// Encodes `changes` as an answer, compressed unless they are small.
 #[must_use]
-pub fn pack(changes: Changes) -> Body {
+pub fn compress(changes: Changes) -> Body {
     if changes.encoded_len() <= MAX_PLAIN_BYTES {
         return Body::Changes(changes);
     }
@@ -36,7 +36,7 @@
 
 /// Extracts the changes from an answer; returns `None` if it has none or they are invalid.
 #[must_use]
-pub fn unpack(answer: Body) -> Option<Changes> {
+pub fn decompress(answer: Body) -> Option<Changes> {
     match answer {
         Body::Changes(changes) => Some(changes),
         Body::PackedChanges(compressed) => decompress_changes(&compressed),
--- a/crates/peer/src/gossip.rs
+++ b/crates/peer/src/gossip.rs
@@ -42,11 +42,11 @@
 
 /// Sending half of the gossip socket.
 #[derive(Debug)]
-pub struct Gossip {
+pub struct GossipSender {
     sink: SplitSink<UdpFramed<DatagramCodec>, (Datagram, SocketAddr)>,
 }
 
-impl Gossip {
+impl GossipSender {
     /// Binds the socket; returns its sending half and the stream of received datagrams.
     ///
     /// # Errors
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,11 +1,11 @@
 //! Communication between instances: gossip datagrams over UDP and framed requests over TCP.
 
 mod client;
+pub mod compression;
 mod gossip;
-pub mod packed;
 mod server;
 pub mod wire;
 
-pub use client::{Links, PeerError};
-pub use gossip::Gossip;
+pub use client::{PeerConnections, PeerError};
+pub use gossip::GossipSender;
 pub use server::{AnswerFuture, PeerService, serve};
--- a/crates/peer/src/server.rs
+++ b/crates/peer/src/server.rs
@@ -32,7 +32,7 @@
     fn stamp(&self) -> u64;
 
     /// Updates the local clock from the stamp of a request.
-    fn observe(&self, stamp: u64);
+    fn observe_stamp(&self, stamp: u64);
 }
 
 /// Requests of one connection that are being answered; dropping cancels them.
@@ -87,7 +87,7 @@
     let mut estimator = DelayEstimator::default();
     while let Some(Ok(bytes)) = frames.next().await {
         let Ok(frame) = Frame::decode(bytes) else { break };
-        service.observe(frame.stamp);
+        service.observe_stamp(frame.stamp);
         match frame.body {
             Some(Body::Cancel(id)) => in_progress.cancel(id),
             Some(mut request) => {
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -5,7 +5,7 @@
 use prost::Message;
 use tokio_util::codec::LengthDelimitedCodec;
 
-pub use gather::{Busy, ColdSend, Gather, Gathered, Header, Signed};
+pub use gather::{Busy, ColdSendRequest, GatherRequest, Gathered, Header, Signed};
 
 /// Maximum size of a frame in bytes; leaves ample room for the operators' text.
 const MAX_FRAME_BYTES: usize = 8 << 20;
@@ -38,25 +38,25 @@
     Text(Text),
     /// Request to the owner of a bucket to claim a key.
     #[prost(message, tag = "5")]
-    Claim(Claim),
+    Claim(ClaimRequest),
     /// Answer to [`Body::Claim`].
     #[prost(message, tag = "6")]
     Claimed(Claimed),
     /// Request for the instance's state, as JSON.
     #[prost(message, tag = "7")]
-    StatusAsk(Nothing),
+    StatusAsk(Empty),
     /// Answer to [`Body::StatusAsk`].
     #[prost(bytes = "bytes", tag = "8")]
     Status(bytes::Bytes),
     /// Request for events of the timeline, as JSON.
     #[prost(message, tag = "9")]
-    EventsAsk(EventsAsk),
+    EventsAsk(EventsRequest),
     /// Answer to [`Body::EventsAsk`].
     #[prost(bytes = "bytes", tag = "10")]
     Events(bytes::Bytes),
     /// Request for parts of a query from replicas assigned to the receiver.
     #[prost(message, tag = "11")]
-    Parts(Parts),
+    Parts(QueryPartsRequest),
     /// Answer to [`Body::Parts`].
     #[prost(message, tag = "12")]
     PartsDone(PartsDone),
@@ -68,25 +68,25 @@
     Cancel(u64),
     /// Request for changes of the store's objects that the sender has not seen.
     #[prost(message, tag = "15")]
-    ChangesAbove(ChangesAbove),
+    ChangesAbove(ChangesRequest),
     /// Answer to [`Body::ChangesAbove`].
     #[prost(message, tag = "16")]
     Changes(eelgrasspier_decide::mirror::Changes),
     /// Request for the merged parts of several shards.
     #[prost(message, tag = "17")]
-    Gather(Gather),
+    Gather(GatherRequest),
     /// Answer to [`Body::Gather`].
     #[prost(message, tag = "18")]
     Gathered(Gathered),
     /// Liveness probe, and its answer.
     #[prost(message, tag = "19")]
-    Alive(Nothing),
+    Alive(Empty),
     /// Answer to [`Body::ChangesAbove`] with compressed changes.
     #[prost(bytes = "bytes", tag = "20")]
     PackedChanges(bytes::Bytes),
     /// Request for the records of all instances known to the receiver.
     #[prost(message, tag = "21")]
-    MembersAsk(Nothing),
+    MembersAsk(Empty),
     /// Answer to [`Body::MembersAsk`].
     #[prost(message, tag = "22")]
     Members(Members),
@@ -96,7 +96,7 @@
     /// Request to the instance that rate-limits a cold replica for permission to send one request
     /// there.
     #[prost(message, tag = "24")]
-    ColdSend(ColdSend),
+    ColdSend(ColdSendRequest),
     /// Answer to [`Body::ColdSend`].
     #[prost(bool, tag = "25")]
     ColdSendAllowed(bool),
@@ -121,7 +121,7 @@
 
 /// Kind and position of the requested changes.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct ChangesAbove {
+pub struct ChangesRequest {
     /// True for replicas; false for the configuration.
     #[prost(bool, tag = "1")]
     pub is_replicas: bool,
@@ -135,7 +135,7 @@
 
 /// Empty message.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Nothing {}
+pub struct Empty {}
 
 /// Version of the operators' text.
 #[derive(Clone, PartialEq, Eq, Message)]
@@ -150,7 +150,7 @@
 
 /// Request to claim a key.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Claim {
+pub struct ClaimRequest {
     /// Upper half of the key.
     #[prost(fixed64, tag = "1")]
     pub key_high: u64,
@@ -189,7 +189,7 @@
 
 /// Filter of requested events.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct EventsAsk {
+pub struct EventsRequest {
     /// Identifier that the events must mention, such as a request id; empty for all.
     #[prost(string, tag = "1")]
     pub about: String,
@@ -200,7 +200,7 @@
 
 /// Request to the receiver to gather parts of a query.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Parts {
+pub struct QueryPartsRequest {
     /// Name of the service.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -221,7 +221,7 @@
     pub body: bytes::Bytes,
     /// True if no part may be forwarded to another instance, not even as a hedge.
     #[prost(bool, tag = "7")]
-    pub is_last: bool,
+    pub forbids_forwarding: bool,
     /// True if the query is tried on a single server because others crashed while running it.
     #[prost(bool, tag = "8")]
     pub is_trial: bool,
--- a/crates/peer/src/wire/gather.rs
+++ b/crates/peer/src/wire/gather.rs
@@ -15,7 +15,7 @@
 
 /// Caller's request that is to be sent to some of its shards.
 #[derive(Clone, PartialEq, Message)]
-pub struct Gather {
+pub struct GatherRequest {
     /// Id that the caller gave to its attempt.
     #[prost(bytes = "bytes", tag = "1")]
     pub request_id: bytes::Bytes,
@@ -57,20 +57,20 @@
     pub target_latency_ms: u64,
     /// Hashed ids of the permitted replicas, as many for each shard as there are attempts.
     #[prost(fixed32, repeated, tag = "14")]
-    pub allowed: Vec<u32>,
+    pub allowed_replicas: Vec<u32>,
     /// True if another instance may have sent these requests before, so that they count as retries.
     #[prost(bool, tag = "15")]
-    pub is_repeat: bool,
+    pub is_retry: bool,
     /// Number of shards that may be omitted because they would be late.
     #[prost(uint32, tag = "16")]
-    pub may_miss: u32,
+    pub max_omitted: u32,
     /// Number of those omissions reserved for shards sent to other instances; this instance may
     /// only use the rest.
     #[prost(uint32, tag = "17")]
-    pub misses_of_others: u32,
+    pub reserved_omissions: u32,
     /// True if these are all shards of the request, so that the receiver may choose how to reach them.
     #[prost(bool, tag = "18")]
-    pub is_whole: bool,
+    pub has_all_shards: bool,
     /// Send time on the sender's clock, in milliseconds; 0 if not stated.
     #[prost(uint64, tag = "19")]
     pub sent_ms: u64,
@@ -138,7 +138,7 @@
 
 /// Request for permission to send to a cold replica.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct ColdSend {
+pub struct ColdSendRequest {
     /// Id of the replica.
     #[prost(string, tag = "1")]
     pub replica: String,
--- a/crates/peer/tests/compression.rs
+++ b/crates/peer/tests/compression.rs
@@ -3,7 +3,7 @@
 use arbtest::arbtest;
 use bytes::Bytes;
 use eelgrasspier_decide::mirror::{Changes, Deleted, Versioned};
-use eelgrasspier_peer::packed::{pack, unpack};
+use eelgrasspier_peer::compression::{compress, decompress};
 use eelgrasspier_peer::wire::{Body, Frame};
 use prost::Message;
 
@@ -34,18 +34,18 @@
 fn a_large_configuration_compresses_to_a_tenth() {
     let large = configuration(1_800);
     let plain_bytes = large.encoded_len();
-    let answer = pack(large.clone());
-    let Body::PackedChanges(packed) = &answer else { panic!("sent as it is") };
-    assert!(packed.len() * 10 < plain_bytes, "{} of {plain_bytes} bytes", packed.len());
-    assert_eq!(unpack(answer), Some(large));
+    let answer = compress(large.clone());
+    let Body::PackedChanges(compressed) = &answer else { panic!("sent as it is") };
+    assert!(compressed.len() * 10 < plain_bytes, "{} of {plain_bytes} bytes", compressed.len());
+    assert_eq!(decompress(answer), Some(large));
 }
 
 #[test]
 fn small_changes_are_sent_uncompressed() {
     let small = configuration(3);
-    assert_eq!(pack(small.clone()), Body::Changes(small.clone()));
-    assert_eq!(unpack(Body::Changes(small.clone())), Some(small));
-    assert_eq!(unpack(Body::Refused("no".to_owned())), None);
+    assert_eq!(compress(small.clone()), Body::Changes(small.clone()));
+    assert_eq!(decompress(Body::Changes(small.clone())), Some(small));
+    assert_eq!(decompress(Body::Refused("no".to_owned())), None);
 }
 
 #[test]
@@ -68,7 +68,7 @@
                 ..Deleted::default()
             });
         }
-        assert_eq!(unpack(pack(changes.clone())), Some(changes));
+        assert_eq!(decompress(compress(changes.clone())), Some(changes));
         Ok(())
     });
 }
@@ -80,7 +80,7 @@
         let bytes: Vec<u8> = u.arbitrary()?;
         let bytes = Bytes::from(bytes);
         // Both results are valid; the test checks that nothing panics.
-        let _changes = unpack(Body::PackedChanges(bytes.clone()));
+        let _changes = decompress(Body::PackedChanges(bytes.clone()));
         let _frame = Frame::decode(bytes);
         Ok(())
     });
@@ -91,7 +91,7 @@
 #[test]
 fn an_excessive_stated_size_is_rejected() {
     let zeros = vec![0; 33 << 20];
-    let packed = zstd::bulk::compress(&zeros, 1).unwrap();
-    assert!(packed.len() < 1 << 16);
-    assert_eq!(unpack(Body::PackedChanges(packed.into())), None);
+    let compressed = zstd::bulk::compress(&zeros, 1).unwrap();
+    assert!(compressed.len() < 1 << 16);
+    assert_eq!(decompress(Body::PackedChanges(compressed.into())), None);
 }
--- a/crates/router/src/cold.rs
+++ b/crates/router/src/cold.rs
@@ -6,7 +6,7 @@
 use eelgrasspier_decide::cold_limit::{self, ColdTolerance, SlidingWindows};
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::gatherers::{self, Candidate};
-use eelgrasspier_peer::wire::{Body, ColdSend};
+use eelgrasspier_peer::wire::{Body, ColdSendRequest};
 
 use crate::model::Request;
 use crate::router::Router;
@@ -117,12 +117,13 @@
         replica: &ReplicaEntry,
         request: &Request,
     ) -> bool {
-        let peer_request = Body::ColdSend(ColdSend {
+        let peer_request = Body::ColdSend(ColdSendRequest {
             replica: replica.id.to_string(),
             service: replica.service.to_string(),
             request_id: request.id.as_bytes().to_vec().into(),
         });
-        let answer = self.links.ask(owner.addr, peer_request, COLD_SEND_TIMEOUT).await;
+        let answer =
+            self.peer_connections.request(owner.addr, peer_request, COLD_SEND_TIMEOUT).await;
         let is_allowed = matches!(answer, Ok(Body::ColdSendAllowed(true)));
         log::info!(
             "event=cold_send id={} replica={} keeper={} allowed={is_allowed}",
@@ -134,7 +135,7 @@
     }
 
     /// Answers another instance that wants to send a request to a cold replica.
-    pub(crate) fn allow_cold_send(&self, peer_request: &ColdSend) -> bool {
+    pub(crate) fn allow_cold_send(&self, peer_request: &ColdSendRequest) -> bool {
         let view = self.shared.view.load_full();
         let listed = view.replicas.get(peer_request.service.as_str());
         let replica = listed.and_then(|all| all.iter().find(|r| *r.id == *peer_request.replica));
--- a/crates/router/src/control/fetch.rs
+++ b/crates/router/src/control/fetch.rs
@@ -8,8 +8,8 @@
 use eelgrasspier_decide::membership::Member;
 use eelgrasspier_decide::mirror::{Changes, Mirror};
 use eelgrasspier_decide::pulls;
-use eelgrasspier_peer::wire::{Body, ChangesAbove};
-use eelgrasspier_peer::{PeerError, packed};
+use eelgrasspier_peer::wire::{Body, ChangesRequest};
+use eelgrasspier_peer::{PeerError, compression};
 use eelgrasspier_store::Kind;
 
 use super::Control;
@@ -34,12 +34,12 @@
             kind => {
                 let Position { era, revision } = after;
                 let is_replicas = kind == Kind::Replicas;
-                Body::ChangesAbove(ChangesAbove { is_replicas, revision, era })
+                Body::ChangesAbove(ChangesRequest { is_replicas, revision, era })
             }
         };
-        let answer = self.links.ask(addr, request, timeout).await?;
+        let answer = self.peer_connections.request(addr, request, timeout).await?;
         self.count_bytes(Cause::Changes, addr, answer.encoded_len());
-        Ok(packed::unpack(answer))
+        Ok(compression::decompress(answer))
     }
 
     /// Starts to fetch changes from an instance that is ahead.
--- a/crates/router/src/control/join.rs
+++ b/crates/router/src/control/join.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use eelgrasspier_peer::PeerError;
-use eelgrasspier_peer::wire::{Body, Members, Nothing};
+use eelgrasspier_peer::wire::{Body, Empty, Members};
 
 use super::Control;
 use crate::zone_bytes::Cause;
@@ -61,7 +61,8 @@
     }
 
     async fn fetch_members(&self, addr: SocketAddr) -> Result<Members, PeerError> {
-        let answer = self.links.ask(addr, Body::MembersAsk(Nothing {}), FETCH_TIMEOUT).await?;
+        let answer =
+            self.peer_connections.request(addr, Body::MembersAsk(Empty {}), FETCH_TIMEOUT).await?;
         self.count_bytes(Cause::Members, addr, answer.encoded_len());
         match answer {
             Body::Members(answer) => Ok(answer),
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -29,7 +29,7 @@
 use eelgrasspier_decide::quarantine::Report;
 use eelgrasspier_decide::route::{Configuration, RouteTable};
 use eelgrasspier_decide::stale_entries::StaleEntries;
-use eelgrasspier_peer::{Links, wire};
+use eelgrasspier_peer::{PeerConnections, wire};
 use eelgrasspier_store::{Collections, Decode, Kind};
 use tokio::sync::{Notify, mpsc, oneshot};
 
@@ -71,7 +71,7 @@
     identity: Identity,
     store: Rc<dyn Collections>,
     decode: Arc<dyn Decode>,
-    links: Links,
+    peer_connections: PeerConnections,
     membership: RefCell<Membership>,
     outbox: mpsc::UnboundedSender<OutgoingDatagram>,
     /// Sends reports of other instances on crashing requests to the traffic thread.
@@ -139,13 +139,13 @@
         requests: mpsc::UnboundedReceiver<Ask>,
         reports_to_traffic: mpsc::UnboundedSender<Vec<Report>>,
     ) -> std::io::Result<()> {
-        let (gossip, received) = eelgrasspier_peer::Gossip::bind(identity.peer_addr).await?;
+        let (gossip, received) = eelgrasspier_peer::GossipSender::bind(identity.peer_addr).await?;
         let (outbox, outgoing) = mpsc::unbounded_channel();
         let is_first_start = identity.is_first_start;
         let control = Rc::new(Self {
             membership: RefCell::new(Membership::new(own_member(&identity))),
             // These frames need no order, so they carry no clock stamp.
-            links: Links::new(Rc::new(|| 0)),
+            peer_connections: PeerConnections::new(Rc::new(|| 0)),
             shared,
             identity,
             store,
--- a/crates/router/src/gather/admission.rs
+++ b/crates/router/src/gather/admission.rs
@@ -8,8 +8,8 @@
 impl Gather<'_> {
     /// Leaves out shards that would be late; returns false if the request is refused.
     pub(super) fn admit(&mut self) -> bool {
-        let may_miss = self.shards.len() - self.required_shards;
-        let Some(retry_after_ms) = self.plan(may_miss, may_miss) else { return true };
+        let max_omitted = self.shards.len() - self.required_shards;
+        let Some(retry_after_ms) = self.plan(max_omitted, max_omitted) else { return true };
         self.gathered.refused_ms = Some(retry_after_ms);
         false
     }
@@ -18,8 +18,8 @@
     ///
     /// The requesting instance plans with load reports from earlier answers, which are older than
     /// the data here.
-    pub(super) fn admit_for_peer(&mut self, may_miss: usize, may_leave_out: usize) -> bool {
-        self.gathered.refused_ms = self.plan(may_miss, may_leave_out);
+    pub(super) fn admit_for_peer(&mut self, max_omitted: usize, may_leave_out: usize) -> bool {
+        self.gathered.refused_ms = self.plan(max_omitted, may_leave_out);
         let is_started = self.gathered.refused_ms.is_none();
         if !is_started {
             self.gathered.left_out = self.services(|_| true);
@@ -28,14 +28,14 @@
     }
 
     /// Leaves out late shards; returns the retry delay if there are more than may be left out.
-    fn plan(&mut self, may_miss: usize, may_leave_out: usize) -> Option<u64> {
+    fn plan(&mut self, max_omitted: usize, may_leave_out: usize) -> Option<u64> {
         let now_ms = self.router.shared.now_ms();
         let left_ms = self.deadlines.target_at_ms.saturating_sub(now_ms);
         let left_ms = f64::from(u32::try_from(left_ms).unwrap_or(u32::MAX));
         let answer_ms: Vec<f64> =
             (0..self.shards.len()).map(|i| self.answer_ms(i, left_ms)).collect();
         let (id, route) = (self.request.id_text(), &self.route.name);
-        match plan_group(&answer_ms, may_miss, may_leave_out, left_ms, rand::random()) {
+        match plan_group(&answer_ms, max_omitted, may_leave_out, left_ms, rand::random()) {
             Plan::Send { left_out } => {
                 for &index in &left_out {
                     self.shards[index].state = ShardState::LeftOut;
@@ -46,7 +46,7 @@
             }
             Plan::Refuse { late_count, retry_after_ms } => {
                 log::info!(
-                    "event=overloaded id={id} route={route} late={late_count} may_miss={may_miss} \
+                    "event=overloaded id={id} route={route} late={late_count} may_miss={max_omitted} \
                      left_ms={left_ms} retry_after_ms={retry_after_ms}"
                 );
                 Some(retry_after_ms)
@@ -55,7 +55,7 @@
     }
 
     /// Returns the number of shards that may still be missed.
-    pub(super) fn may_miss(&self) -> usize {
+    pub(super) fn max_omitted(&self) -> usize {
         let is_lost = |s: &&Shard| matches!(s.state, ShardState::Failed | ShardState::LeftOut);
         let lost = self.shards.iter().filter(is_lost).count();
         (self.shards.len() - lost).saturating_sub(self.required_shards)
--- a/crates/router/src/gather/mod.rs
+++ b/crates/router/src/gather/mod.rs
@@ -55,13 +55,13 @@
     /// Another instance, which accepts partial results.
     Peer {
         /// True if a third instance may already have sent the shards.
-        is_repeat: bool,
+        is_retry: bool,
         /// Number of shards that the complete answer may lack.
-        may_miss: usize,
+        max_omitted: usize,
         /// Number of these that may be left out here because they would be late.
         may_leave_out: usize,
         /// True if these are all shards of the request, so that they may be relayed again.
-        is_whole: bool,
+        has_all_shards: bool,
     },
 }
 
@@ -184,7 +184,8 @@
 
     /// Gathers until the answer is sufficient or can't become sufficient any more.
     pub(crate) async fn run(mut self, requester: Requester) -> Gathered {
-        self.trials.run_locally = !matches!(requester, Requester::Peer { is_whole: false, .. });
+        self.trials.run_locally =
+            !matches!(requester, Requester::Peer { has_all_shards: false, .. });
         if self.is_quarantined() || !self.start(requester) {
             self.record_quarantine();
             return self.gathered;
@@ -222,15 +223,15 @@
     fn start(&mut self, requester: Requester) -> bool {
         match requester {
             Requester::Caller => self.start_for_caller(),
-            Requester::Peer { is_repeat, may_miss, may_leave_out, is_whole } => {
+            Requester::Peer { is_retry, max_omitted, may_leave_out, has_all_shards } => {
                 // The requesting instance accepts partial results.
                 self.required_shards =
-                    if is_whole { self.shards.len().saturating_sub(may_miss) } else { 0 };
-                let is_started = self.admit_for_peer(may_miss, may_leave_out);
-                match (is_started, is_whole) {
+                    if has_all_shards { self.shards.len().saturating_sub(max_omitted) } else { 0 };
+                let is_started = self.admit_for_peer(max_omitted, may_leave_out);
+                match (is_started, has_all_shards) {
                     (false, _) => {}
-                    (true, true) => self.dispatch_all(is_repeat),
-                    (true, false) => self.send_all_for_peer(is_repeat),
+                    (true, true) => self.dispatch_all(is_retry),
+                    (true, false) => self.send_all_for_peer(is_retry),
                 }
                 is_started
             }
--- a/crates/router/src/gather/relay.rs
+++ b/crates/router/src/gather/relay.rs
@@ -42,11 +42,11 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RelayOptions {
     /// True if another instance may already have sent the shards.
-    pub(super) is_repeat: bool,
+    pub(super) is_retry: bool,
     /// Number of shards that may be left out because they would be late.
     pub(super) may_leave_out: usize,
     /// True if these are all shards of the request, which the receiver may relay again.
-    pub(super) is_whole: bool,
+    pub(super) has_all_shards: bool,
 }
 
 /// Result of a relay request to another instance.
@@ -54,7 +54,7 @@
     pub(super) peer: Arc<str>,
     pub(super) zone: Arc<str>,
     pub(super) shards: Vec<usize>,
-    pub(super) is_whole: bool,
+    pub(super) has_all_shards: bool,
     pub(super) result: Result<wire::Gathered, PeerError>,
 }
 
@@ -80,18 +80,18 @@
     /// Relays all shards to one instance in the local zone.
     pub(super) fn delegate_to(&mut self, peer: &Peer) {
         let all = (0..self.shards.len()).collect();
-        let may_leave_out = self.may_miss();
+        let may_leave_out = self.max_omitted();
         self.relay_shards(
             peer,
             all,
-            RelayOptions { is_repeat: false, may_leave_out, is_whole: true },
+            RelayOptions { is_retry: false, may_leave_out, has_all_shards: true },
         );
     }
 
     /// Sends all shards, some directly and some through other instances.
     ///
-    /// `is_repeat` is true if a third instance may already have sent them.
-    pub(super) fn dispatch_all(&mut self, is_repeat: bool) {
+    /// `is_retry` is true if a third instance may already have sent them.
+    pub(super) fn dispatch_all(&mut self, is_retry: bool) {
         let relay_groups = self.relay_groups();
         let may_leave_out = self.split_miss_budget(&relay_groups);
         let mut is_handled: Vec<bool> =
@@ -103,11 +103,11 @@
             self.relay_shards(
                 &peer,
                 shards,
-                RelayOptions { is_repeat, may_leave_out, is_whole: false },
+                RelayOptions { is_retry, may_leave_out, has_all_shards: false },
             );
         }
         for index in (0..self.shards.len()).filter(|&i| !is_handled[i]) {
-            self.send_for_peer(index, is_repeat);
+            self.send_for_peer(index, is_retry);
         }
     }
 
@@ -117,7 +117,7 @@
         let pending = self.shards.iter().filter(|s| s.state == ShardState::Pending).count();
         // Shards that are sent from here may be late as well.
         sizes.push(pending - sizes.iter().sum::<usize>());
-        admission::divide_allowed_misses(self.may_miss(), &sizes)
+        admission::divide_allowed_misses(self.max_omitted(), &sizes)
     }
 
     /// Returns the shards to relay, grouped by instance.
@@ -226,7 +226,7 @@
                 dispatched.clear();
             }
             let relay_result =
-                RelayResult { peer, zone, shards, is_whole: options.is_whole, result };
+                RelayResult { peer, zone, shards, has_all_shards: options.has_all_shards, result };
             // The receiver is closed once the request has been answered.
             let _is_closed = event_sender.send(Event::Relay(relay_result)).is_err();
         }));
@@ -248,7 +248,7 @@
     }
 
     fn peer_request(&self, shards: &[usize], now_ms: u64, options: RelayOptions) -> Body {
-        let RelayOptions { is_repeat, may_leave_out, is_whole } = options;
+        let RelayOptions { is_retry, may_leave_out, has_all_shards } = options;
         let request = self.request;
         let until_target_ms = self.deadlines.target_at_ms.saturating_sub(now_ms);
         let time_left_ms = self.deadlines.limit_at_ms.saturating_sub(now_ms);
@@ -270,7 +270,7 @@
             hashes.resize(self.route.attempts.max(1), relays::NO_REPLICA_HASH);
             hashes
         };
-        Body::Gather(wire::Gather {
+        Body::Gather(wire::GatherRequest {
             request_id: request.id.as_bytes().to_vec().into(),
             method: request.method.as_str().to_owned(),
             host: request.host.clone(),
@@ -279,16 +279,16 @@
             body: request.body.clone(),
             route: self.route.name.to_string(),
             services: shards.iter().map(service).collect(),
-            allowed: shards.iter().flat_map(hashes).collect(),
+            allowed_replicas: shards.iter().flat_map(hashes).collect(),
             attempts: to_u32(self.route.attempts),
             top_k: to_u32(self.route.top_k),
             time_left_ms,
             answer_within_ms,
             target_latency_ms: self.route.target_latency_ms,
-            is_repeat,
-            may_miss: to_u32(self.may_miss()),
-            misses_of_others: to_u32(self.may_miss().saturating_sub(may_leave_out)),
-            is_whole,
+            is_retry,
+            max_omitted: to_u32(self.max_omitted()),
+            reserved_omissions: to_u32(self.max_omitted().saturating_sub(may_leave_out)),
+            has_all_shards,
             // Zero means "not specified" on the wire.
             sent_ms: now_ms.max(1),
             report: self.router.report_on(request.fingerprint()),
--- a/crates/router/src/gather/relay_results.rs
+++ b/crates/router/src/gather/relay_results.rs
@@ -59,7 +59,7 @@
         lost: &str,
         zone: &str,
         shards: &[usize],
-        is_repeat: bool,
+        is_retry: bool,
     ) -> Vec<usize> {
         let is_pending = |i: &&usize| self.shards[**i].state == ShardState::Pending;
         let pending: Vec<usize> = shards.iter().filter(is_pending).copied().collect();
@@ -85,19 +85,19 @@
             self.relay_shards(
                 &peer,
                 shards,
-                RelayOptions { is_repeat, may_leave_out: 0, is_whole: false },
+                RelayOptions { is_retry, may_leave_out: 0, has_all_shards: false },
             );
         }
         remaining.into_iter().collect()
     }
 
     pub(super) fn on_relay_result(&mut self, relay_result: RelayResult) {
-        let RelayResult { peer, zone, shards, is_whole, result } = relay_result;
+        let RelayResult { peer, zone, shards, has_all_shards, result } = relay_result;
         for &index in &shards {
             self.shards[index].in_flight -= 1;
         }
         match result {
-            Ok(answer) => self.on_merged_answer(&shards, is_whole, answer),
+            Ok(answer) => self.on_merged_answer(&shards, has_all_shards, answer),
             Err(error) => {
                 let id = self.request.id_text();
                 log::info!("event=relay_failed id={id} peer={peer} cause=\"{error}\"");
@@ -110,7 +110,7 @@
         }
     }
 
-    fn on_merged_answer(&mut self, shards: &[usize], is_whole: bool, answer: wire::Gathered) {
+    fn on_merged_answer(&mut self, shards: &[usize], has_all_shards: bool, answer: wire::Gathered) {
         let wire::Gathered {
             records,
             parts,
@@ -121,7 +121,7 @@
             refused_ms,
             report,
         } = answer;
-        if is_whole && refused_ms > 0 && !may_have_run {
+        if has_all_shards && refused_ms > 0 && !may_have_run {
             self.gathered.refused_ms = Some(refused_ms);
         }
         self.router.record_slow(&slow);
@@ -148,7 +148,7 @@
         }
         self.gathered.merged.push(MergedParts { records, parts });
         for &index in shards {
-            if is_whole {
+            if has_all_shards {
                 // The delegate has already retried, with better knowledge of the replicas.
                 self.fail_if_idle(index);
             } else {
--- a/crates/router/src/gather/send.rs
+++ b/crates/router/src/gather/send.rs
@@ -79,16 +79,16 @@
         self.send(index);
     }
 
-    pub(super) fn send_all_for_peer(&mut self, is_repeat: bool) {
+    pub(super) fn send_all_for_peer(&mut self, is_retry: bool) {
         for index in 0..self.shards.len() {
             if self.shards[index].state == ShardState::Pending {
-                self.send_for_peer(index, is_repeat);
+                self.send_for_peer(index, is_retry);
             }
         }
     }
 
-    pub(super) fn send_for_peer(&mut self, index: usize, is_repeat: bool) {
-        if !is_repeat {
+    pub(super) fn send_for_peer(&mut self, index: usize, is_retry: bool) {
+        if !is_retry {
             self.send_first(index);
         } else if !self.resend(index, "relay_lost") {
             self.fail_if_idle(index);
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -6,8 +6,8 @@
 
 use eelgrasspier_decide::history::Position;
 use eelgrasspier_decide::mirror::Changes;
-use eelgrasspier_peer::wire::{Body, ChangesAbove};
-use eelgrasspier_peer::{AnswerFuture, PeerService, packed};
+use eelgrasspier_peer::wire::{Body, ChangesRequest};
+use eelgrasspier_peer::{AnswerFuture, PeerService, compression};
 use eelgrasspier_store::Kind;
 use prost::Message;
 use tokio::sync::{mpsc, oneshot};
@@ -19,7 +19,7 @@
 pub(crate) struct PeerRequestHandler {
     pub(crate) router: Rc<Router>,
     pub(crate) control: mpsc::UnboundedSender<Ask>,
-    /// The last packed answer of each kind.
+    /// The last compressed answer of each kind.
     packed_answers: RefCell<HashMap<Kind, CachedAnswer>>,
 }
 
@@ -79,7 +79,7 @@
         if let Some(last) = cache.get(&kind).filter(is_same) {
             return last.answer.clone();
         }
-        let answer = packed::pack(changes);
+        let answer = compression::compress(changes);
         if matches!(answer, Body::PackedChanges(_)) {
             cache.insert(
                 kind,
@@ -94,7 +94,7 @@
     fn answer(&self, request: Body) -> AnswerFuture<'_> {
         Box::pin(async move {
             match request {
-                Body::ChangesAbove(ChangesAbove { is_replicas, revision, era }) => {
+                Body::ChangesAbove(ChangesRequest { is_replicas, revision, era }) => {
                     let kind = if is_replicas { Kind::Replicas } else { Kind::Configuration };
                     self.changes(kind, Position { era, revision }).await
                 }
@@ -107,7 +107,7 @@
                 Body::ColdSend(request) => {
                     Body::ColdSendAllowed(self.router.allow_cold_send(&request))
                 }
-                Body::Alive(nothing) => Body::Alive(nothing),
+                Body::Alive(empty) => Body::Alive(empty),
                 _ => Body::Refused("not a question for a router".to_owned()),
             }
         })
@@ -117,5 +117,5 @@
         0
     }
 
-    fn observe(&self, _stamp: u64) {}
+    fn observe_stamp(&self, _stamp: u64) {}
 }
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -22,11 +22,11 @@
 use crate::view::{Peer, View};
 use crate::zone_bytes::{self, Cause};
 
-/// Time after which a link without a response is closed.
+/// Time after which a connection without a response is closed.
 ///
 /// A frozen instance resumes within seconds, but a connection that has stopped responding does not
 /// recover.
-const LINK_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+const PEER_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Router {
     /// True if this instance holds connections to the replicas of a service in its own zone.
@@ -85,8 +85,10 @@
         let guard = InFlightGuard::start(&replica_stats, self.shared.now_ms(), typical_ms);
         let is_cross_zone = peer.zone != self.zone;
         zone_bytes::count(Cause::Gather, is_cross_zone, peer_request.encoded_len());
-        let result =
-            self.links.ask_noting(peer.addr, peer_request, time_left, || dispatched.set()).await;
+        let result = self
+            .peer_connections
+            .request_with_callback(peer.addr, peer_request, time_left, || dispatched.set())
+            .await;
         drop(guard);
         let took = started.elapsed();
         metrics::histogram!("eelgrasspier_relay_seconds").record(took.as_secs_f64());
@@ -112,9 +114,10 @@
 
     /// True if an instance responds within `timeout`.
     pub(crate) async fn is_alive(&self, peer: &Peer, timeout: Duration) -> bool {
-        let peer_request = Body::Alive(wire::Nothing {});
-        // The link outlives this timeout, since a late response may still arrive on it.
-        let response = self.links.ask(peer.addr, peer_request, LINK_RESPONSE_TIMEOUT);
+        let peer_request = Body::Alive(wire::Empty {});
+        // The connection outlives this timeout, since a late response may still arrive on it.
+        let response =
+            self.peer_connections.request(peer.addr, peer_request, PEER_RESPONSE_TIMEOUT);
         matches!(tokio::time::timeout(timeout, response).await, Ok(Ok(Body::Alive(_))))
     }
 
@@ -125,7 +128,10 @@
     }
 
     /// Gathers shards for another instance and merges them.
-    pub async fn gather_for_peer(self: &Rc<Self>, peer_request: wire::Gather) -> wire::Gathered {
+    pub async fn gather_for_peer(
+        self: &Rc<Self>,
+        peer_request: wire::GatherRequest,
+    ) -> wire::Gathered {
         if peer_request.time_left_ms == 0 {
             // The request was delayed in transit until the caller's deadline had expired.
             log::info!("event=question_too_late route={}", peer_request.route);
@@ -140,15 +146,19 @@
             peer_request.services.iter().map(|s| s.as_str().into()).collect();
         let route = Arc::new(to_route(&peer_request, &services));
         let top_k = route.top_k;
-        let allowed =
-            peer_request.allowed.chunks(route.attempts.max(1)).map(<[u32]>::to_vec).collect();
-        let is_whole = peer_request.is_whole;
-        let own_miss_budget = peer_request.may_miss.saturating_sub(peer_request.misses_of_others);
+        let allowed = peer_request
+            .allowed_replicas
+            .chunks(route.attempts.max(1))
+            .map(<[u32]>::to_vec)
+            .collect();
+        let has_all_shards = peer_request.has_all_shards;
+        let own_omission_budget =
+            peer_request.max_omitted.saturating_sub(peer_request.reserved_omissions);
         let requester = Requester::Peer {
-            is_repeat: peer_request.is_repeat,
-            may_miss: usize::try_from(peer_request.may_miss).unwrap_or(0),
-            may_leave_out: usize::try_from(own_miss_budget).unwrap_or(0),
-            is_whole,
+            is_retry: peer_request.is_retry,
+            max_omitted: usize::try_from(peer_request.max_omitted).unwrap_or(0),
+            may_leave_out: usize::try_from(own_omission_budget).unwrap_or(0),
+            has_all_shards,
         };
         self.merge_reports(peer_request.report.as_slice(), "question");
         let Some(request) = to_request(peer_request) else {
@@ -164,7 +174,7 @@
         let gathered = gather.run(requester).await;
         metrics::counter!("eelgrasspier_relayed_total").increment(1);
         log::info!(
-            "event=gathered_for_peer id={} route={} whole={is_whole} parts={} {} took_ms={}",
+            "event=gathered_for_peer id={} route={} whole={has_all_shards} parts={} {} took_ms={}",
             request.id_text(),
             route.name,
             gathered.parts(),
@@ -183,7 +193,7 @@
     }
 }
 
-fn to_route(peer_request: &wire::Gather, services: &[Arc<str>]) -> Route {
+fn to_route(peer_request: &wire::GatherRequest, services: &[Arc<str>]) -> Route {
     let to_usize = |n: u32| usize::try_from(n).unwrap_or(usize::MAX);
     Route {
         name: peer_request.route.as_str().into(),
@@ -202,7 +212,7 @@
 }
 
 /// Rebuilds the caller's request; returns `None` if it is not a valid HTTP request.
-fn to_request(peer_request: wire::Gather) -> Option<Request> {
+fn to_request(peer_request: wire::GatherRequest) -> Option<Request> {
     let mut headers = HeaderMap::new();
     for wire::Header { name, value } in peer_request.headers {
         let name = HeaderName::from_bytes(name.as_bytes()).ok()?;
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -16,7 +16,7 @@
 use eelgrasspier_decide::retry_budget::{RetryBudget, RetryLimits};
 use eelgrasspier_decide::route::{Route, Target};
 use eelgrasspier_decide::wait_policy;
-use eelgrasspier_peer::Links;
+use eelgrasspier_peer::PeerConnections;
 use tokio::time::Instant;
 
 use crate::backend::{Attempt, Backend, Reply};
@@ -63,7 +63,7 @@
     pub(crate) zone: Arc<str>,
     /// Hash of this instance's name for rendezvous hashing.
     pub(crate) key: u64,
-    pub(crate) links: Links,
+    pub(crate) peer_connections: PeerConnections,
     limits: Cell<RetryLimits>,
     pub(crate) replica_stats: RefCell<NameMap<Rc<RefCell<ReplicaStats>>>>,
     /// Expiry times of replicas that peer instances reported as slow, by replica hash.
@@ -98,7 +98,7 @@
             zone,
             key: rendezvous::hash(name),
             // These messages need no ordering, so the clock stamp is constant.
-            links: Links::new(Rc::new(|| 0)),
+            peer_connections: PeerConnections::new(Rc::new(|| 0)),
             limits: Cell::new(limits),
             replica_stats: RefCell::default(),
             slow_until_ms: RefCell::default(),
--- a/crates/router/tests/delegates.rs
+++ b/crates/router/tests/delegates.rs
@@ -43,7 +43,7 @@
         0
     }
 
-    fn observe(&self, _stamp: u64) {}
+    fn observe_stamp(&self, _stamp: u64) {}
 }
 
 /// A large instance with replicas of its own.
@@ -219,7 +219,7 @@
         0
     }
 
-    fn observe(&self, _stamp: u64) {}
+    fn observe_stamp(&self, _stamp: u64) {}
 }
 
 /// A relay request must be cancelled once its answer is not needed any more. The delegate was
--- a/crates/router/tests/keepers.rs
+++ b/crates/router/tests/keepers.rs
@@ -25,11 +25,11 @@
 struct MockService(Rc<MockInstance>);
 
 impl PeerService for MockService {
-    fn answer(&self, question: Body) -> AnswerFuture<'_> {
+    fn answer(&self, request: Body) -> AnswerFuture<'_> {
         let MockService(instance) = self;
-        let answer = match question {
-            Body::ColdSend(question) => {
-                instance.requested_replicas.borrow_mut().push(question.replica);
+        let answer = match request {
+            Body::ColdSend(request) => {
+                instance.requested_replicas.borrow_mut().push(request.replica);
                 let left = instance.remaining_permits.get();
                 instance.remaining_permits.set(left.saturating_sub(1));
                 Body::ColdSendAllowed(left > 0)
@@ -47,7 +47,7 @@
         0
     }
 
-    fn observe(&self, _stamp: u64) {}
+    fn observe_stamp(&self, _stamp: u64) {}
 }
 
 async fn start_mock(zone: &str, permits: u32) -> (Rc<MockInstance>, Peer) {
--- a/crates/router/tests/lost_relays.rs
+++ b/crates/router/tests/lost_relays.rs
@@ -32,7 +32,7 @@
         0
     }
 
-    fn observe(&self, _stamp: u64) {}
+    fn observe_stamp(&self, _stamp: u64) {}
 }
 
 /// An instance that accepts requests and never answers.
@@ -47,7 +47,7 @@
         0
     }
 
-    fn observe(&self, _stamp: u64) {}
+    fn observe_stamp(&self, _stamp: u64) {}
 }
 
 async fn start(name: &str, service: Rc<dyn PeerService>) -> Peer {
--- a/crates/router/tests/overload.rs
+++ b/crates/router/tests/overload.rs
@@ -93,7 +93,7 @@
             world.serve(id, 400).await;
         }
         let both = ["s0/a", "s0/b", "s1/a", "s1/b"].map(relays::replica_hash);
-        let gather_request = wire::Gather {
+        let gather_request = wire::GatherRequest {
             request_id: "r1".into(),
             method: "GET".to_owned(),
             host: "h".to_owned(),
@@ -105,9 +105,9 @@
             time_left_ms: 400,
             answer_within_ms: 70,
             target_latency_ms: 80,
-            allowed: both.to_vec(),
-            may_miss: 1,
-            ..wire::Gather::default()
+            allowed_replicas: both.to_vec(),
+            max_omitted: 1,
+            ..wire::GatherRequest::default()
         };
         let answer = world.router.gather_for_peer(gather_request.clone()).await;
         assert_eq!((answer.parts.len(), answer.left_out), (1, vec![1]));
@@ -115,7 +115,7 @@
         assert!(slow.iter().all(|hash| answer.slow.contains(hash)));
         // If no shard may be missing, nothing is sent.
         let before = world.script.arrivals.borrow().len();
-        let strict = wire::Gather { may_miss: 0, ..gather_request };
+        let strict = wire::GatherRequest { max_omitted: 0, ..gather_request };
         let answer = world.router.gather_for_peer(strict).await;
         assert_eq!((answer.parts.len(), answer.left_out), (0, vec![0, 1]));
         assert!(!answer.may_have_run);
@@ -184,7 +184,7 @@
         }
         let hashes =
             (0..4).flat_map(|s| ["a", "b"].map(|r| relays::replica_hash(&format!("s{s}/{r}"))));
-        let gather_request = wire::Gather {
+        let gather_request = wire::GatherRequest {
             request_id: "r1".into(),
             method: "GET".to_owned(),
             host: "h".to_owned(),
@@ -196,13 +196,13 @@
             time_left_ms: 400,
             answer_within_ms: 70,
             target_latency_ms: 80,
-            allowed: hashes.collect(),
-            may_miss: 4,
-            ..wire::Gather::default()
+            allowed_replicas: hashes.collect(),
+            max_omitted: 4,
+            ..wire::GatherRequest::default()
         };
         // Three of the four misses are reserved for other shards: one shard is left out, the other
         // tried.
-        let part = wire::Gather { misses_of_others: 3, ..gather_request.clone() };
+        let part = wire::GatherRequest { reserved_omissions: 3, ..gather_request.clone() };
         let answer = world.router.gather_for_peer(part).await;
         assert_eq!((answer.parts.len(), answer.left_out.len()), (2, 1));
         let was_sent = |shard: &str| {
@@ -211,11 +211,12 @@
         };
         assert!(was_sent("s1/") != was_sent("s2/"));
         // All four misses are reserved: nothing is left out, and the fast shards are covered.
-        let none = wire::Gather { misses_of_others: 4, ..gather_request.clone() };
+        let none = wire::GatherRequest { reserved_omissions: 4, ..gather_request.clone() };
         let answer = world.router.gather_for_peer(none).await;
         assert_eq!((answer.parts.len(), answer.left_out.len()), (2, 0));
         // More shards are late than the whole answer may miss, so nothing is sent.
-        let strict = wire::Gather { may_miss: 1, misses_of_others: 1, ..gather_request };
+        let strict =
+            wire::GatherRequest { max_omitted: 1, reserved_omissions: 1, ..gather_request };
         let answer = world.router.gather_for_peer(strict).await;
         assert_eq!((answer.parts.len(), answer.left_out.len()), (0, 4));
     });
--- a/crates/router/tests/relays.rs
+++ b/crates/router/tests/relays.rs
@@ -7,8 +7,8 @@
 use eelgrasspier_peer::wire;
 use eelgrasspier_router::Outcome;
 
-fn gather_request(services: &[&str], allowed: Vec<u32>) -> wire::Gather {
-    wire::Gather {
+fn gather_request(services: &[&str], allowed_replicas: Vec<u32>) -> wire::GatherRequest {
+    wire::GatherRequest {
         request_id: "r1".into(),
         method: "GET".to_owned(),
         host: "h".to_owned(),
@@ -20,8 +20,8 @@
         time_left_ms: 400,
         answer_within_ms: 70,
         target_latency_ms: 80,
-        allowed,
-        ..wire::Gather::default()
+        allowed_replicas,
+        ..wire::GatherRequest::default()
     }
 }
 
