--- a/crates/eelgrasspier/src/control/members.rs
+++ b/crates/eelgrasspier/src/control/members.rs
@@ -228,8 +228,10 @@
         }
         self.record(event::RESTORED, &format!("era {era}"), &format!("previous era {before}"));
         self.restored.notify_waiters();
-        for bucket in (0..eelgrasspier_store::BUCKETS).filter(|bucket| self.owns_bucket(*bucket)) {
-            self.claims.settle(bucket);
+        for bucket in
+            (0..eelgrasspier_store::BUCKET_COUNT).filter(|bucket| self.owns_bucket(*bucket))
+        {
+            self.claims.schedule_rewrite(bucket);
         }
     }
 
--- a/crates/eelgrasspier/src/control/text.rs
+++ b/crates/eelgrasspier/src/control/text.rs
@@ -65,7 +65,7 @@
                         self.rewrite_text(version).await;
                     }
                 }
-                Err(_) => tokio::time::sleep(backoff.next_pause()).await,
+                Err(_) => tokio::time::sleep(backoff.next_delay()).await,
             }
         }
     }
@@ -111,7 +111,7 @@
             }
         };
         let before = self.in_force.borrow().version();
-        let offered = self.in_force.borrow_mut().offer(version, &stored.remembered());
+        let offered = self.in_force.borrow_mut().offer(version, &stored.accepted_edits());
         match &offered {
             OfferResult::Accepted { lost } => self.record_lost_edits(lost, &about),
             OfferResult::NotNewer => {
@@ -233,7 +233,7 @@
                 }
                 Err(error) => reason = error,
             }
-            tokio::time::sleep(backoff.next_pause()).await;
+            tokio::time::sleep(backoff.next_delay()).await;
         }
         let answer = SubmitAnswer::Unknown { reason };
         self.record_submission(&submitted, &answer);
@@ -255,7 +255,7 @@
             }
         };
         let edit = Edit { edit_id: submitted.edit_id, base: submitted.base };
-        match config::resolve(&edit, version, &stored.remembered()) {
+        match config::resolve(&edit, version, &stored.accepted_edits()) {
             Submission::Accepted(version) => return Ok(SubmitAnswer::Accepted { version }),
             Submission::Superseded(version) => return Ok(SubmitAnswer::Superseded { version }),
             Submission::Conflict(version) => return Ok(SubmitAnswer::Conflict { version }),
--- a/crates/router/src/control/apply.rs
+++ b/crates/router/src/control/apply.rs
@@ -6,14 +6,14 @@
 use eelgrasspier_decide::evacuations::ZoneChange;
 use eelgrasspier_decide::mirror::{ApplyResult, Changes, Deviation, Effect};
 use eelgrasspier_decide::route::RouteTable;
-use eelgrasspier_store::Kind;
+use eelgrasspier_store::CollectionKind;
 
 use super::Control;
 use super::restore::as_gauge;
 
 impl Control {
     /// Applies changes to the local copy and to the state derived from it.
-    pub(super) fn apply_changes(&self, kind: Kind, changes: &Changes, source: &str) {
+    pub(super) fn apply_changes(&self, kind: CollectionKind, changes: &Changes, source: &str) {
         // The era comes first, so that entries missing from the list of a restored store count as
         // lapsed.
         self.observe_peer_era(changes.era, source);
@@ -53,7 +53,7 @@
     /// `is_quiet` lowers the log level of the line for each entry to debug.
     pub(super) fn apply_effects(
         &self,
-        kind: Kind,
+        kind: CollectionKind,
         applied: ApplyResult,
         (as_of, source): (u64, &str),
         is_quiet: bool,
@@ -65,10 +65,10 @@
         applied.deviations.iter().for_each(|deviation| log_deviation(kind, deviation, source));
         for effect in applied.effects {
             has_changed |= match kind {
-                Kind::Replicas => self.apply_replica(effect, as_of, source, is_quiet),
-                Kind::Configuration => self.apply_configuration(effect, source),
-                Kind::Evacuations => self.apply_evacuation(effect, as_of, source),
-                Kind::Instances | Kind::Suspects => false,
+                CollectionKind::Replicas => self.apply_replica(effect, as_of, source, is_quiet),
+                CollectionKind::Configuration => self.apply_configuration(effect, source),
+                CollectionKind::Evacuations => self.apply_evacuation(effect, as_of, source),
+                CollectionKind::Instances | CollectionKind::Suspects => false,
             };
         }
         has_changed
@@ -155,7 +155,7 @@
 }
 
 /// Logs a change that was not applied as received.
-fn log_deviation(kind: Kind, deviation: &Deviation, source: &str) {
+fn log_deviation(kind: CollectionKind, deviation: &Deviation, source: &str) {
     match deviation {
         Deviation::IgnoredStale { name, received, known } => {
             metrics::counter!("eelgrasspier_changes_left_out_total").increment(1);
--- a/crates/router/src/control/fetch.rs
+++ b/crates/router/src/control/fetch.rs
@@ -10,7 +10,7 @@
 use eelgrasspier_decide::pulls;
 use eelgrasspier_peer::wire::{Body, ChangesRequest};
 use eelgrasspier_peer::{PeerError, compression};
-use eelgrasspier_store::Kind;
+use eelgrasspier_store::CollectionKind;
 
 use super::Control;
 use crate::zone_bytes::Cause;
@@ -25,15 +25,15 @@
     pub(super) async fn fetch_changes(
         &self,
         addr: SocketAddr,
-        kind: Kind,
+        kind: CollectionKind,
         after: Position,
         timeout: Duration,
     ) -> Result<Option<Changes>, PeerError> {
         let request = match kind {
-            Kind::Evacuations => Body::EvacuationsAfter(after),
+            CollectionKind::Evacuations => Body::EvacuationsAfter(after),
             kind => {
                 let Position { era, revision } = after;
-                let is_replicas = kind == Kind::Replicas;
+                let is_replicas = kind == CollectionKind::Replicas;
                 Body::ChangesAbove(ChangesRequest { is_replicas, revision, era })
             }
         };
@@ -43,7 +43,7 @@
     }
 
     /// Starts to fetch changes from an instance that is ahead.
-    pub(super) fn fetch_newer(self: &Rc<Self>, kind: Kind) {
+    pub(super) fn fetch_newer(self: &Rc<Self>, kind: CollectionKind) {
         let known = self.mirrors.borrow().get(&kind).map(Mirror::position).unwrap_or_default();
         let version = self.configuration.borrow().as_ref().map_or(0, |c| c.version);
         let now_ms = self.shared.now_ms();
@@ -53,7 +53,8 @@
         }
         let membership = self.membership.borrow();
         // After a restore of the store the newest version may be missing at any position.
-        let has_newer = |m: &Member| kind == Kind::Configuration && m.config_version > version;
+        let has_newer =
+            |m: &Member| kind == CollectionKind::Configuration && m.config_version > version;
         let is_ahead = |m: &&Member| {
             (position_of(m, kind) > known || has_newer(m)) && !pulls.is_pulling_from(&m.name)
         };
@@ -87,7 +88,7 @@
     ///
     /// The fetching instance of the zone has it a few milliseconds later. Without this wait half of
     /// all changes were fetched across zones by each instance separately.
-    fn has_waited_for_own_zone(&self, kind: Kind) -> bool {
+    fn has_waited_for_own_zone(&self, kind: CollectionKind) -> bool {
         let now_ms = self.shared.now_ms();
         let mut behind = self.behind_since_ms.borrow_mut();
         let since_ms = *behind.entry(kind).or_insert(now_ms);
@@ -95,12 +96,12 @@
     }
 }
 
-fn position_of(member: &Member, kind: Kind) -> Position {
+fn position_of(member: &Member, kind: CollectionKind) -> Position {
     let (era, revision) = match kind {
-        Kind::Replicas => (member.replicas_era, member.replicas_revision),
-        Kind::Configuration => (member.configuration_era, member.configuration_revision),
-        Kind::Evacuations => (member.evacuations_era, member.evacuations_revision),
-        Kind::Instances | Kind::Suspects => (0, 0),
+        CollectionKind::Replicas => (member.replicas_era, member.replicas_revision),
+        CollectionKind::Configuration => (member.configuration_era, member.configuration_revision),
+        CollectionKind::Evacuations => (member.evacuations_era, member.evacuations_revision),
+        CollectionKind::Instances | CollectionKind::Suspects => (0, 0),
     };
     Position { era, revision }
 }
--- a/crates/router/src/control/follow.rs
+++ b/crates/router/src/control/follow.rs
@@ -7,7 +7,7 @@
 use eelgrasspier_decide::mirror::Mirror;
 use eelgrasspier_decide::store_backoff::{self, MAX_BACKOFF_MS, MIN_BACKOFF_MS};
 use eelgrasspier_decide::watchers;
-use eelgrasspier_store::{Backoff, CollectionError, Kind};
+use eelgrasspier_store::{Backoff, CollectionError, CollectionKind};
 
 use super::Control;
 use super::restore::{AnswerOutcome, StoreRequest};
@@ -53,7 +53,7 @@
 
 impl Control {
     /// Keeps one kind up to date by lists, watches and polls, for as long as the thread runs.
-    pub(super) async fn follow(self: Rc<Self>, kind: Kind) {
+    pub(super) async fn follow(self: Rc<Self>, kind: CollectionKind) {
         let mut backoff = Backoff::new(MIN_BACKOFF_MS, MAX_BACKOFF_MS);
         if self.identity.is_first_start {
             self.wait_for_first_list(kind).await;
@@ -116,7 +116,7 @@
                         must_list = self.complete_position(kind) == since;
                     } else {
                         self.record_store_failure(&error);
-                        self.back_off(backoff.next_pause()).await;
+                        self.back_off(backoff.next_delay()).await;
                         self.wait_for_store(kind).await;
                     }
                 }
@@ -128,7 +128,7 @@
     ///
     /// No callers come in the first seconds. When 77 instances each read the same list at once,
     /// that cost more than all other calls of a quiet minute.
-    async fn wait_for_first_list(&self, kind: Kind) {
+    async fn wait_for_first_list(&self, kind: CollectionKind) {
         const CHECK_INTERVAL: Duration = Duration::from_millis(50);
         tokio::time::sleep(GOSSIP_JOIN_TIME).await;
         let until = Instant::now() + FIRST_LIST_TIMEOUT;
@@ -143,7 +143,7 @@
     /// In a rolling restart each instance would otherwise read full lists from the store. That is
     /// three calls for each start, and most of the calls on a day on which all of 195 instances
     /// restart.
-    async fn fetch_from_seeds(&self, kind: Kind) {
+    async fn fetch_from_seeds(&self, kind: CollectionKind) {
         let fetching = async {
             for seed in self.other_seeds() {
                 let start = Position::default();
@@ -172,7 +172,7 @@
     }
 
     /// Returns the position of the local copy, or `None` before the first full list.
-    pub(super) fn complete_position(&self, kind: Kind) -> Option<Position> {
+    pub(super) fn complete_position(&self, kind: CollectionKind) -> Option<Position> {
         let mirrors = self.mirrors.borrow();
         mirrors.get(&kind).filter(|m| m.has_full_list()).map(Mirror::position)
     }
@@ -201,23 +201,23 @@
 
     /// Waits before the next retry, or until the store answers another instance.
     ///
-    /// The pause grows with the number of instances that retry.
-    async fn back_off(&self, pause: Duration) {
-        let pause_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
+    /// The delay grows with the number of instances that retry.
+    async fn back_off(&self, delay: Duration) {
+        let delay_ms = u64::try_from(delay.as_millis()).unwrap_or(u64::MAX);
         // Only a few instances probe for the end of an outage, so they may do it often.
         let sharers =
             if self.is_outage_prober() { watchers::MAX_OUTAGE_PROBERS } else { self.instances() };
-        let pause = Duration::from_millis(store_backoff::scaled_backoff_ms(pause_ms, sharers));
+        let delay = Duration::from_millis(store_backoff::scaled_backoff_ms(delay_ms, sharers));
         let reached = self.peer_reached_store.notified();
-        if tokio::time::timeout(pause, reached).await.is_ok() {
+        if tokio::time::timeout(delay, reached).await.is_ok() {
             let jitter_ms = rand::random_range(0..RECONNECT_JITTER_MS);
             tokio::time::sleep(Duration::from_millis(jitter_ms)).await;
         }
     }
 
     /// Waits during an outage; only the task of one kind probes for its end.
-    async fn wait_for_store(&self, kind: Kind) {
-        if kind == Kind::Configuration {
+    async fn wait_for_store(&self, kind: CollectionKind) {
+        if kind == CollectionKind::Configuration {
             return;
         }
         while !self.is_store_up.get() {
--- a/crates/router/src/control/instances.rs
+++ b/crates/router/src/control/instances.rs
@@ -6,15 +6,15 @@
 use eelgrasspier_decide::membership::ListedInstance;
 use eelgrasspier_decide::store_backoff::{MAX_BACKOFF_MS, MIN_BACKOFF_MS};
 use eelgrasspier_decide::store_contacts;
-use eelgrasspier_store::{Announcement, Backoff, CollectionError, Kind};
+use eelgrasspier_store::{Backoff, CollectionError, CollectionKind, InstanceEntry};
 
 use super::Control;
 use super::follow::GOSSIP_JOIN_TIME;
 
-/// Maximum pause between retries to write or read entries while other members are known.
+/// Maximum delay between retries to write or read entries while other members are known.
 ///
 /// The entries serve only instances that start later and find no seed.
-const MAX_LIST_PAUSE_MS: u64 = 5_000;
+const MAX_LIST_DELAY_MS: u64 = 5_000;
 /// Interval between reads of the entries by watchers.
 ///
 /// Gossip carries changes; the entries only rejoin parts of the fleet that have lost each other.
@@ -49,7 +49,7 @@
 impl Control {
     /// Keeps the own entry up to date, if this instance has one, and reads the others periodically.
     pub(super) async fn follow_instances(self: Rc<Self>) {
-        let mut backoff = Backoff::new(MIN_BACKOFF_MS, MAX_LIST_PAUSE_MS);
+        let mut backoff = Backoff::new(MIN_BACKOFF_MS, MAX_LIST_DELAY_MS);
         let mut entries = EntryState::default();
         if self.identity.is_first_start {
             tokio::time::sleep(GOSSIP_JOIN_TIME).await;
@@ -75,8 +75,8 @@
         let is_current =
             entries.written_size.is_some_and(|n| !store_contacts::must_rewrite(n, instances));
         if !is_current && self.may_announce() {
-            let announced = self.store.announce(&self.announcement(instances)).await;
-            announced.inspect_err(|e| log::info!("event=not_announced cause=\"{e}\""))?;
+            let published = self.store.publish_instance(&self.own_entry(instances)).await;
+            published.inspect_err(|e| log::info!("event=not_announced cause=\"{e}\""))?;
             log::info!("event=announced instances={instances} before={:?}", entries.written_size);
             entries.written_size = Some(instances);
         }
@@ -116,8 +116,8 @@
         self.shared.now_ms() >= min_age_ms && self.is_contact()
     }
 
-    fn announcement(&self, instances: u64) -> Announcement {
-        Announcement {
+    fn own_entry(&self, instances: u64) -> InstanceEntry {
+        InstanceEntry {
             name: self.identity.name.clone(),
             zone: self.identity.zone.clone(),
             peer_addr: self.identity.peer_addr,
@@ -127,14 +127,14 @@
 
     async fn list_instances(&self, entries: &mut EntryState) -> Result<(), CollectionError> {
         // Entries may be seconds old, and a stale read costs a tenth of a current one.
-        let changes = self.store.list(Kind::Instances, true).await;
+        let changes = self.store.list(CollectionKind::Instances, true).await;
         let changes =
             changes.inspect_err(|e| log::info!("event=instances_not_listed cause=\"{e}\""))?;
         let read = changes.changes.objects.iter().filter_map(|o| {
             let read = self.decode.instance(&o.name, &o.content);
             read.inspect_err(|e| log::warn!("event=instance_unreadable cause=\"{e}\"")).ok()
         });
-        let read: Vec<Announcement> = read.collect();
+        let read: Vec<InstanceEntry> = read.collect();
         let entry_count = u64::try_from(read.len()).unwrap_or(u64::MAX);
         let fleet = read.iter().map(|a| a.instances).fold(entry_count, u64::max);
         let listed: Vec<ListedInstance> = read.into_iter().map(to_listed).collect();
@@ -167,7 +167,7 @@
         };
         // Only watchers withdraw, to limit the number of calls. Withdrawing twice does no harm.
         for name in gone.iter().filter(|_| self.is_watcher()) {
-            match self.store.withdraw(name).await {
+            match self.store.delete_instance(name).await {
                 Ok(()) => log::info!("event=instance_withdrawn instance={name}"),
                 Err(error) => {
                     log::info!("event=instance_not_withdrawn instance={name} cause=\"{error}\"");
@@ -176,14 +176,14 @@
         }
     }
 
-    /// Returns the pause before the next retry to write or read entries.
+    /// Returns the delay before the next retry to write or read entries.
     fn list_back_off(&self, backoff: &mut Backoff) -> Duration {
-        let pause = backoff.next_pause();
-        if self.is_alone() { pause.min(Duration::from_millis(MAX_BACKOFF_MS)) } else { pause }
+        let delay = backoff.next_delay();
+        if self.is_alone() { delay.min(Duration::from_millis(MAX_BACKOFF_MS)) } else { delay }
     }
 }
 
-fn to_listed(announcement: Announcement) -> ListedInstance {
-    let Announcement { name, zone, peer_addr, .. } = announcement;
+fn to_listed(entry: InstanceEntry) -> ListedInstance {
+    let InstanceEntry { name, zone, peer_addr, .. } = entry;
     ListedInstance { name, zone, peer_addr }
 }
--- a/crates/router/src/control/members.rs
+++ b/crates/router/src/control/members.rs
@@ -8,7 +8,7 @@
     Datagram, InstanceState, Member, MembershipChange, OutgoingDatagram,
 };
 use eelgrasspier_decide::mirror::Mirror;
-use eelgrasspier_store::Kind;
+use eelgrasspier_store::CollectionKind;
 use futures_util::{Stream, StreamExt};
 use prost::Message;
 
@@ -112,10 +112,10 @@
             self.roles_changed.notify_waiters();
         }
         self.detect_peer_outage();
-        self.fetch_newer(Kind::Configuration);
-        self.fetch_newer(Kind::Replicas);
+        self.fetch_newer(CollectionKind::Configuration);
+        self.fetch_newer(CollectionKind::Replicas);
         if self.identity.has_evacuations {
-            self.fetch_newer(Kind::Evacuations);
+            self.fetch_newer(CollectionKind::Evacuations);
         }
     }
 
@@ -152,7 +152,8 @@
         let position =
             |kind| self.mirrors.borrow().get(&kind).map(Mirror::position).unwrap_or_default();
         let [replicas, configuration, evacuations] =
-            [Kind::Replicas, Kind::Configuration, Kind::Evacuations].map(position);
+            [CollectionKind::Replicas, CollectionKind::Configuration, CollectionKind::Evacuations]
+                .map(position);
         let version = self.configuration.borrow().as_ref().map_or(0, |c| c.version);
         self.membership.borrow_mut().update_own(|m| {
             (m.replicas_era, m.replicas_revision) = (replicas.era, replicas.revision);
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -30,7 +30,7 @@
 use eelgrasspier_decide::route::{Configuration, RouteTable};
 use eelgrasspier_decide::stale_entries::StaleEntries;
 use eelgrasspier_peer::{PeerConnections, wire};
-use eelgrasspier_store::{Collections, Decode, Kind};
+use eelgrasspier_store::{CollectionKind, Collections, DecodeContent};
 use tokio::sync::{Notify, mpsc, oneshot};
 
 use crate::view::{Replicas, Shared};
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub(crate) enum Ask {
     /// Another instance requests the changes of a kind after a position.
-    Changes { kind: Kind, after: Position, reply: oneshot::Sender<Changes> },
+    Changes { kind: CollectionKind, after: Position, reply: oneshot::Sender<Changes> },
     /// Another instance requests its member table.
     Members { reply: oneshot::Sender<wire::Members> },
     /// The traffic thread has new reports on requests that crash replicas.
@@ -70,13 +70,13 @@
     shared: Arc<Shared>,
     identity: Identity,
     store: Rc<dyn Collections>,
-    decode: Arc<dyn Decode>,
+    decode: Arc<dyn DecodeContent>,
     peer_connections: PeerConnections,
     membership: RefCell<Membership>,
     outbox: mpsc::UnboundedSender<OutgoingDatagram>,
     /// Sends reports of other instances on crashing requests to the traffic thread.
     reports_to_traffic: mpsc::UnboundedSender<Vec<Report>>,
-    mirrors: RefCell<HashMap<Kind, Mirror>>,
+    mirrors: RefCell<HashMap<CollectionKind, Mirror>>,
     directory: RefCell<ReplicaDirectory>,
     /// Zones whose replicas must not receive requests.
     evacuations: RefCell<Evacuations>,
@@ -112,7 +112,7 @@
     /// Time at which a non-watching instance last announced its positions, in milliseconds.
     announced_ms: Cell<u64>,
     /// Time since which only instances of other zones are ahead, in milliseconds.
-    behind_since_ms: RefCell<HashMap<Kind, u64>>,
+    behind_since_ms: RefCell<HashMap<CollectionKind, u64>>,
     /// Membership epoch at which roles were last evaluated.
     roles_epoch: Cell<u64>,
     /// Listed instances that are not alive.
@@ -120,7 +120,7 @@
     /// Fleet size according to the store's entries; `None` until they have been read.
     listed_fleet_size: Cell<Option<u64>>,
     /// Changes that are being fetched from other instances.
-    pulls: RefCell<HashMap<Kind, ConcurrentPulls>>,
+    pulls: RefCell<HashMap<CollectionKind, ConcurrentPulls>>,
     /// Wakes tasks when roles may have changed.
     roles_changed: Notify,
     /// State of the crashing requests that the store holds.
@@ -135,7 +135,7 @@
     pub(crate) async fn start(
         shared: Arc<Shared>,
         identity: Identity,
-        (store, decode): (Rc<dyn Collections>, Arc<dyn Decode>),
+        (store, decode): (Rc<dyn Collections>, Arc<dyn DecodeContent>),
         requests: mpsc::UnboundedReceiver<Ask>,
         reports_to_traffic: mpsc::UnboundedSender<Vec<Report>>,
     ) -> std::io::Result<()> {
@@ -182,10 +182,10 @@
         });
         actix_rt::spawn(gossip.send_all(outgoing));
         actix_rt::spawn(members::receive_all(Rc::clone(&control), Box::pin(received)));
-        actix_rt::spawn(Rc::clone(&control).follow(Kind::Configuration));
-        actix_rt::spawn(Rc::clone(&control).follow(Kind::Replicas));
+        actix_rt::spawn(Rc::clone(&control).follow(CollectionKind::Configuration));
+        actix_rt::spawn(Rc::clone(&control).follow(CollectionKind::Replicas));
         if control.identity.has_evacuations {
-            actix_rt::spawn(Rc::clone(&control).follow(Kind::Evacuations));
+            actix_rt::spawn(Rc::clone(&control).follow(CollectionKind::Evacuations));
         }
         actix_rt::spawn(Rc::clone(&control).follow_instances());
         actix_rt::spawn(Rc::clone(&control).join());
--- a/crates/router/src/control/restore.rs
+++ b/crates/router/src/control/restore.rs
@@ -8,7 +8,7 @@
 use eelgrasspier_decide::history::{EraComparison, Position};
 use eelgrasspier_decide::membership::{InstanceState, Member};
 use eelgrasspier_decide::mirror::{ApplyResult, Mirror, RestorePolicy, Retention};
-use eelgrasspier_store::{Answer, Kind};
+use eelgrasspier_store::{CollectionAnswer, CollectionKind};
 
 use super::Control;
 
@@ -30,7 +30,7 @@
 /// A request to the store.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct StoreRequest {
-    pub(super) kind: Kind,
+    pub(super) kind: CollectionKind,
     /// Position after which changes were requested; `None` for a full list.
     pub(super) since: Option<Position>,
     /// Era that was known when the request was sent.
@@ -56,13 +56,13 @@
     }
 
     /// Creates an empty local copy of a kind.
-    pub(super) fn empty_mirror(&self, kind: Kind) -> Mirror {
+    pub(super) fn empty_mirror(&self, kind: CollectionKind) -> Mirror {
         let heartbeat_ms = u64::try_from(self.identity.heartbeat.as_millis()).unwrap_or(0);
         let retention = match kind {
             // Configuration versions never go down.
-            Kind::Configuration => Retention::Always,
-            Kind::Evacuations => Retention::ForMs(EVACUATION_RETENTION_MS),
-            Kind::Replicas | Kind::Instances | Kind::Suspects => {
+            CollectionKind::Configuration => Retention::Always,
+            CollectionKind::Evacuations => Retention::ForMs(EVACUATION_RETENTION_MS),
+            CollectionKind::Replicas | CollectionKind::Instances | CollectionKind::Suspects => {
                 Retention::ForMs(LAPSED_RETENTION_MS)
             }
         };
@@ -73,7 +73,11 @@
     }
 
     /// Applies the changes of an answer if they fit the era of the request.
-    pub(super) fn apply_answer(&self, request: StoreRequest, answer: Answer) -> AnswerOutcome {
+    pub(super) fn apply_answer(
+        &self,
+        request: StoreRequest,
+        answer: CollectionAnswer,
+    ) -> AnswerOutcome {
         if self.record_answer_era(request, answer.era) == EraComparison::Stale {
             log::info!(
                 "event=answer_late kind={:?} era={} known={}",
@@ -134,9 +138,9 @@
         log::warn!(
             "event=store_restored era={era} before={before} configuration={} replicas={} \
              evacuations={} source={source}",
-            position(Kind::Configuration),
-            position(Kind::Replicas),
-            position(Kind::Evacuations)
+            position(CollectionKind::Configuration),
+            position(CollectionKind::Replicas),
+            position(CollectionKind::Evacuations)
         );
         // Entries of live replicas may be missing, or may lapse because the backup predates their
         // last renewals.
@@ -148,7 +152,7 @@
     ///
     /// A non-watching instance first gives the watchers time to send their list. In a large fleet
     /// the lists of all instances would otherwise be read at the same moment.
-    pub(super) async fn position_in_current_era(&self, kind: Kind) -> Option<Position> {
+    pub(super) async fn position_in_current_era(&self, kind: CollectionKind) -> Option<Position> {
         let is_in_old_era = || self.complete_position(kind).is_some_and(|at| at.era < self.era());
         let until = Instant::now() + WATCHER_LIST_TIMEOUT;
         while is_in_old_era() && !self.is_watcher() && Instant::now() < until {
@@ -160,7 +164,9 @@
     /// Expires objects that were retained or left out for a limited time after a restore.
     pub(super) fn expire_retained(&self) {
         let now_ms = self.shared.now_ms();
-        for kind in [Kind::Configuration, Kind::Replicas, Kind::Evacuations] {
+        for kind in
+            [CollectionKind::Configuration, CollectionKind::Replicas, CollectionKind::Evacuations]
+        {
             let expired = self
                 .mirrors
                 .borrow_mut()
@@ -176,7 +182,7 @@
         }
     }
 
-    pub(super) fn update_unsettled_gauge(&self, kind: Kind) {
+    pub(super) fn update_unsettled_gauge(&self, kind: CollectionKind) {
         let unsettled = self.mirrors.borrow().get(&kind).map_or(0, Mirror::unsettled_count);
         let unsettled = as_gauge(u64::try_from(unsettled).unwrap_or(u64::MAX));
         metrics::gauge!("eelgrasspier_unsettled_objects", "kind" => kind.name()).set(unsettled);
@@ -184,7 +190,9 @@
 
     /// At start, asks another instance for what a restored store may lack, before serving callers.
     pub(super) async fn confirm_with_peer(self: Rc<Self>) {
-        while !self.is_confirmed.get() && self.complete_position(Kind::Configuration).is_none() {
+        while !self.is_confirmed.get()
+            && self.complete_position(CollectionKind::Configuration).is_none()
+        {
             tokio::time::sleep(CHECK_INTERVAL).await;
         }
         let until = Instant::now() + CONFIRM_TIMEOUT;
@@ -211,8 +219,10 @@
     }
 
     async fn confirm_from(&self, addr: SocketAddr) -> bool {
-        for kind in [Kind::Configuration, Kind::Replicas, Kind::Evacuations] {
-            if kind == Kind::Evacuations && !self.identity.has_evacuations {
+        for kind in
+            [CollectionKind::Configuration, CollectionKind::Replicas, CollectionKind::Evacuations]
+        {
+            if kind == CollectionKind::Evacuations && !self.identity.has_evacuations {
                 continue;
             }
             let known = self.complete_position(kind).unwrap_or_default();
--- a/crates/router/src/control/stored_suspects.rs
+++ b/crates/router/src/control/stored_suspects.rs
@@ -13,14 +13,14 @@
 use eelgrasspier_decide::fingerprint::Fingerprint;
 use eelgrasspier_decide::quarantine::Report;
 use eelgrasspier_decide::store_backoff::MIN_BACKOFF_MS;
-use eelgrasspier_store::{Backoff, CollectionError, KeptRequest, Kind};
+use eelgrasspier_store::{Backoff, CollectionError, CollectionKind, SuspectRecord};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
 use super::Control;
 
-/// Maximum pause between retries to write or read, in milliseconds.
-const MAX_PAUSE_MS: u64 = 4_000;
+/// Maximum delay between retries to write or read, in milliseconds.
+const MAX_RETRY_DELAY_MS: u64 = 4_000;
 /// Process ages at which the stored requests are read.
 ///
 /// The second read must contain all writes from before the start, even if it is seconds old.
@@ -81,7 +81,7 @@
 
     /// Writes scheduled requests to the store, for as long as the thread runs.
     pub(super) async fn write_due_suspects(self: Rc<Self>) {
-        let mut backoff = Backoff::new(MIN_BACKOFF_MS, MAX_PAUSE_MS);
+        let mut backoff = Backoff::new(MIN_BACKOFF_MS, MAX_RETRY_DELAY_MS);
         loop {
             let first = self.stored_suspects.due.borrow().iter().map(|(f, at)| (*at, *f)).min();
             let Some((at, request)) = first else {
@@ -101,7 +101,7 @@
                 Err(error) => {
                     self.stored_suspects.due.borrow_mut().entry(request).or_insert(at);
                     log::info!("event=request_not_kept fingerprint={request} cause=\"{error}\"");
-                    tokio::time::sleep(backoff.next_pause()).await;
+                    tokio::time::sleep(backoff.next_delay()).await;
                 }
             }
         }
@@ -118,11 +118,13 @@
             let (refusals, now_ms) = (report.refusals, unix_ms());
             let is_refused = report.refused_ms > 0;
             let refused_until_ms = if is_refused { now_ms + report.refused_ms } else { 0 };
-            let forgotten_ms = now_ms + report.left_ms;
-            self.store.keep(&KeptRequest { report, refused_until_ms, forgotten_ms }).await?;
+            let expires_ms = now_ms + report.left_ms;
+            self.store
+                .save_suspect(&SuspectRecord { report, refused_until_ms, expires_ms })
+                .await?;
             self.stored_suspects.refusals.borrow_mut().insert(request, refusals);
         } else if is_known {
-            self.store.forget(request).await?;
+            self.store.delete_suspect(request).await?;
             self.stored_suspects.refusals.borrow_mut().remove(&request);
         } else {
             return Ok(());
@@ -145,9 +147,9 @@
         let stored = self.list_stored_suspects().await?;
         self.stored_suspects.cleaned_up_ms.set(Some(now_ms));
         let now_ms = unix_ms();
-        for stored in stored.iter().filter(|k| now_ms >= k.forgotten_ms) {
+        for stored in stored.iter().filter(|k| now_ms >= k.expires_ms) {
             let request = Fingerprint(stored.report.fingerprint);
-            self.store.forget(request).await?;
+            self.store.delete_suspect(request).await?;
             self.stored_suspects.refusals.borrow_mut().remove(&request);
         }
         Ok(())
@@ -159,13 +161,13 @@
             // The store holds no requests yet.
             return;
         }
-        let mut backoff = Backoff::new(MIN_BACKOFF_MS, MAX_PAUSE_MS);
+        let mut backoff = Backoff::new(MIN_BACKOFF_MS, MAX_RETRY_DELAY_MS);
         for at in READ_AGES {
             let age = Duration::from_millis(self.shared.now_ms());
             tokio::time::sleep(at.saturating_sub(age)).await;
             while let Err(error) = self.load_suspects().await {
                 log::info!("event=requests_not_recalled cause=\"{error}\"");
-                tokio::time::sleep(backoff.next_pause()).await;
+                tokio::time::sleep(backoff.next_delay()).await;
             }
         }
     }
@@ -173,14 +175,14 @@
     async fn load_suspects(self: &Rc<Self>) -> Result<(), CollectionError> {
         let (now_ms, stored) = (unix_ms(), self.list_stored_suspects().await?);
         let mut reports = Vec::new();
-        for stored in stored.into_iter().filter(|k| now_ms < k.forgotten_ms) {
-            let KeptRequest { report, refused_until_ms, forgotten_ms } = stored;
+        for stored in stored.into_iter().filter(|k| now_ms < k.expires_ms) {
+            let SuspectRecord { report, refused_until_ms, expires_ms } = stored;
             self.stored_suspects
                 .refusals
                 .borrow_mut()
                 .insert(Fingerprint(report.fingerprint), report.refusals);
             let refused_ms = refused_until_ms.saturating_sub(now_ms);
-            reports.push(Report { refused_ms, left_ms: forgotten_ms - now_ms, ..report });
+            reports.push(Report { refused_ms, left_ms: expires_ms - now_ms, ..report });
         }
         log::info!("event=requests_recalled count={}", reports.len());
         self.membership.borrow_mut().merge_reports(&reports, self.shared.now_ms());
@@ -212,7 +214,7 @@
     }
 
     /// Schedules writes of suspected requests that the store lacks, at a limited rate.
-    fn schedule_missing_suspects(&self, stored: &[KeptRequest]) {
+    fn schedule_missing_suspects(&self, stored: &[SuspectRecord]) {
         for stored in stored {
             let request = Fingerprint(stored.report.fingerprint);
             self.stored_suspects.refusals.borrow_mut().insert(request, stored.report.refusals);
@@ -234,10 +236,10 @@
     }
 
     /// Reads the stored requests. The answer may be seconds old and costs the store a tenth.
-    async fn list_stored_suspects(&self) -> Result<Vec<KeptRequest>, CollectionError> {
-        let answer = self.store.list(Kind::Suspects, true).await?;
+    async fn list_stored_suspects(&self) -> Result<Vec<SuspectRecord>, CollectionError> {
+        let answer = self.store.list(CollectionKind::Suspects, true).await?;
         let read = answer.changes.objects.iter().filter_map(|o| {
-            let read = self.decode.kept_request(&o.name, &o.content);
+            let read = self.decode.suspect_record(&o.name, &o.content);
             read.inspect_err(|e| log::warn!("event=request_unreadable cause=\"{e}\"")).ok()
         });
         Ok(read.collect())
--- a/crates/router/src/control/views.rs
+++ b/crates/router/src/control/views.rs
@@ -6,7 +6,7 @@
 use eelgrasspier_decide::cold_limit::CoordinatorStability;
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::mirror::Mirror;
-use eelgrasspier_store::Kind;
+use eelgrasspier_store::CollectionKind;
 
 use super::Control;
 use crate::view::{Peer, Replicas, View};
@@ -75,8 +75,8 @@
         // A starting instance must not send to a zone that was evacuated before. A restored store
         // may also have an older configuration than the one in force at the other instances.
         let has_replicas = self.is_confirmed.get()
-            && is_listed(Kind::Replicas)
-            && (!self.identity.has_evacuations || is_listed(Kind::Evacuations));
+            && is_listed(CollectionKind::Replicas)
+            && (!self.identity.has_evacuations || is_listed(CollectionKind::Evacuations));
         let is_gatherer = self.is_gatherer();
         let gatherer_stability = self.update_gatherers(&peers, is_gatherer);
         let view = View {
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -12,7 +12,7 @@
 use displaydoc::Display;
 use eelgrasspier_caller::{Answering, Handler, StopPhase, serve};
 use eelgrasspier_decide::route::CallerLimits;
-use eelgrasspier_store::{Collections, Decode};
+use eelgrasspier_store::{Collections, DecodeContent};
 use eelgrasspier_telemetry::{Latency, Page, TelemetryError};
 use http::{Request, Response, StatusCode};
 use http_body_util::Full;
@@ -59,7 +59,7 @@
     /// Creates the store client, on the control thread.
     pub store: Box<dyn FnOnce() -> Rc<dyn Collections> + Send>,
     /// Decodes the contents of the store's objects.
-    pub decode: Arc<dyn Decode>,
+    pub decode: Arc<dyn DecodeContent>,
     /// Sends requests to replicas.
     pub backend: Rc<dyn Backend>,
     /// Creates the handler that parses callers' requests and writes their answers.
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -8,7 +8,7 @@
 use eelgrasspier_decide::mirror::Changes;
 use eelgrasspier_peer::wire::{Body, ChangesRequest};
 use eelgrasspier_peer::{AnswerFuture, PeerService, compression};
-use eelgrasspier_store::Kind;
+use eelgrasspier_store::CollectionKind;
 use prost::Message;
 use tokio::sync::{mpsc, oneshot};
 
@@ -20,7 +20,7 @@
     pub(crate) router: Rc<Router>,
     pub(crate) control: mpsc::UnboundedSender<Ask>,
     /// The last compressed answer of each kind.
-    packed_answers: RefCell<HashMap<Kind, CachedAnswer>>,
+    packed_answers: RefCell<HashMap<CollectionKind, CachedAnswer>>,
 }
 
 /// A cached answer: others of the zone are about to request the same.
@@ -46,7 +46,7 @@
         Self { router, control, packed_answers: RefCell::default() }
     }
 
-    async fn changes(&self, kind: Kind, after: Position) -> Body {
+    async fn changes(&self, kind: CollectionKind, after: Position) -> Body {
         let (reply, changes) = oneshot::channel();
         let request = Ask::Changes { kind, after, reply };
         if self.control.send(request).is_err() {
@@ -70,7 +70,12 @@
         }
     }
 
-    fn pack_cached(&self, kind: Kind, requested_after: Position, changes: Changes) -> Body {
+    fn pack_cached(
+        &self,
+        kind: CollectionKind,
+        requested_after: Position,
+        changes: Changes,
+    ) -> Body {
         let (as_of, length_bytes) = (changes.position(), changes.encoded_len());
         let mut cache = self.packed_answers.borrow_mut();
         let is_same = |p: &&CachedAnswer| {
@@ -95,13 +100,19 @@
         Box::pin(async move {
             match request {
                 Body::ChangesAbove(ChangesRequest { is_replicas, revision, era }) => {
-                    let kind = if is_replicas { Kind::Replicas } else { Kind::Configuration };
+                    let kind = if is_replicas {
+                        CollectionKind::Replicas
+                    } else {
+                        CollectionKind::Configuration
+                    };
                     self.changes(kind, Position { era, revision }).await
                 }
                 Body::EvacuationsAbove(revision) => {
-                    self.changes(Kind::Evacuations, Position { era: 0, revision }).await
+                    self.changes(CollectionKind::Evacuations, Position { era: 0, revision }).await
+                }
+                Body::EvacuationsAfter(after) => {
+                    self.changes(CollectionKind::Evacuations, after).await
                 }
-                Body::EvacuationsAfter(after) => self.changes(Kind::Evacuations, after).await,
                 Body::MembersAsk(_) => self.members().await,
                 Body::Gather(request) => Body::Gathered(self.router.gather_for_peer(request).await),
                 Body::ColdSend(request) => {
--- a/crates/store/src/backoff.rs
+++ b/crates/store/src/backoff.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Pauses that double up to a maximum, each with random jitter.
+/// Delays that double up to a maximum, each with random jitter.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     min_ms: u64,
@@ -11,20 +11,20 @@
 }
 
 impl Backoff {
-    /// Creates a backoff with pauses from `min_ms` up to `max_ms`, in milliseconds.
+    /// Creates a backoff with delays from `min_ms` up to `max_ms`, in milliseconds.
     #[must_use]
     pub fn new(min_ms: u64, max_ms: u64) -> Self {
         Self { min_ms, max_ms, current_ms: min_ms }
     }
 
-    /// Returns the next pause, drawn at random between half of the current pause and all of it.
-    pub fn next_pause(&mut self) -> Duration {
-        let pause_ms = self.current_ms;
-        self.current_ms = (pause_ms * 2).min(self.max_ms);
-        Duration::from_millis(rand::random_range(pause_ms / 2..=pause_ms))
+    /// Returns the next delay, drawn at random between half of the current delay and all of it.
+    pub fn next_delay(&mut self) -> Duration {
+        let delay_ms = self.current_ms;
+        self.current_ms = (delay_ms * 2).min(self.max_ms);
+        Duration::from_millis(rand::random_range(delay_ms / 2..=delay_ms))
     }
 
-    /// Resets the pause to its minimum after a success.
+    /// Resets the delay to its minimum after a success.
     pub fn reset(&mut self) {
         self.current_ms = self.min_ms;
     }
--- a/crates/store/src/claims.rs
+++ b/crates/store/src/claims.rs
@@ -19,7 +19,7 @@
 use crate::stored;
 
 /// Number of buckets that keys are distributed over.
-pub const BUCKETS: usize = 16;
+pub const BUCKET_COUNT: usize = 16;
 /// Minimum interval between two updates of a bucket; 16 buckets allow 200 updates per second.
 const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(80);
 /// Retention period of claims after the key was issued, in milliseconds.
@@ -32,8 +32,8 @@
 const GIVE_UP_AFTER: Duration = Duration::from_millis(500);
 /// Allowed clock skew, in milliseconds, of callers that issue keys ahead of the local clock.
 const MAX_CLOCK_SKEW_MS: u64 = 2_000;
-/// Minimum and maximum pause between retries, in milliseconds.
-const RETRY_PAUSE_MS: (u64, u64) = (10, 1_000);
+/// Minimum and maximum delay between retries, in milliseconds.
+const RETRY_DELAY_MS: (u64, u64) = (10, 1_000);
 
 /// Error of a claim that was not resolved in time; the request must not be sent.
 #[derive(Debug, Display, Clone, PartialEq, Eq, thiserror::Error)]
@@ -87,7 +87,7 @@
 pub fn bucket_of(key: Key) -> usize {
     const SEED: u64 = 0x6275_636b;
     let low_half = u64::try_from(key.0 & u128::from(u64::MAX)).unwrap_or_default();
-    let index = rendezvous::weight(SEED, low_half) % BUCKETS as u64;
+    let index = rendezvous::weight(SEED, low_half) % BUCKET_COUNT as u64;
     usize::try_from(index).unwrap_or_default()
 }
 
@@ -95,7 +95,7 @@
     /// Creates claims that are stored in `store`.
     #[must_use]
     pub fn new(store: Rc<dyn ObjectStore>) -> Self {
-        let buckets = (0..BUCKETS).map(|_| RefCell::default()).collect();
+        let buckets = (0..BUCKET_COUNT).map(|_| RefCell::default()).collect();
         Self {
             store,
             buckets: Rc::new(buckets),
@@ -160,7 +160,7 @@
     }
 
     /// Schedules a write of a bucket that makes it safe for claims after the platform was restored.
-    pub fn settle(&self, bucket: usize) {
+    pub fn schedule_rewrite(&self, bucket: usize) {
         self.buckets[bucket].borrow_mut().must_rewrite = true;
         self.start(bucket);
     }
@@ -175,7 +175,7 @@
 
     /// Processes the bucket until it has no pending claim or release.
     async fn process(self, bucket: usize) {
-        let mut backoff = Backoff::new(RETRY_PAUSE_MS.0, RETRY_PAUSE_MS.1);
+        let mut backoff = Backoff::new(RETRY_DELAY_MS.0, RETRY_DELAY_MS.1);
         while self.prune_and_check_work(bucket) {
             self.wait_for_interval(bucket).await;
             if self.step(bucket).await.is_ok() {
@@ -183,7 +183,7 @@
                 backoff.reset();
             } else {
                 self.on_failure(bucket);
-                tokio::time::sleep(backoff.next_pause()).await;
+                tokio::time::sleep(backoff.next_delay()).await;
             }
         }
     }
--- a/crates/store/src/collections.rs
+++ b/crates/store/src/collections.rs
@@ -15,7 +15,7 @@
 
 /// Kind of collection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Kind {
+pub enum CollectionKind {
     /// Replica entries.
     Replicas,
     /// The operators' configuration.
@@ -28,7 +28,7 @@
     Evacuations,
 }
 
-impl Kind {
+impl CollectionKind {
     /// Returns the kind's label in metrics.
     #[must_use]
     pub fn name(self) -> &'static str {
@@ -58,7 +58,7 @@
 
 /// Answer of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct CollectionAnswer {
     /// Number of restores of the store from a backup, if reported.
     pub era: Option<u64>,
     /// Objects and changes, with no era assigned yet.
@@ -67,7 +67,7 @@
 
 /// Entry that an instance publishes about itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Announcement {
+pub struct InstanceEntry {
     /// Name of the instance.
     pub name: String,
     /// Availability zone of the instance.
@@ -83,14 +83,14 @@
 /// Instances exchange these reports, but after a loss of all instances only the store still has
 /// them.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KeptRequest {
+pub struct SuspectRecord {
     /// Report about the request, without its refusal time.
     pub report: Report,
     /// Time until which the request is refused, in milliseconds since the Unix epoch; 0 if it is
     /// only suspected.
     pub refused_until_ms: u64,
     /// Expiry time of the record, in milliseconds since the Unix epoch.
-    pub forgotten_ms: u64,
+    pub expires_ms: u64,
 }
 
 /// Collections of the store.
@@ -100,39 +100,47 @@
     /// With `may_be_stale` the answer may be a few seconds old, which costs the store less.
     fn list(
         &self,
-        kind: Kind,
+        kind: CollectionKind,
         may_be_stale: bool,
-    ) -> StoreFuture<'_, Result<Answer, CollectionError>>;
+    ) -> StoreFuture<'_, Result<CollectionAnswer, CollectionError>>;
 
     /// Waits up to `wait` for changes after revision `since`.
     fn watch(
         &self,
-        kind: Kind,
+        kind: CollectionKind,
         since: u64,
         wait: Duration,
-    ) -> StoreFuture<'_, Result<Answer, CollectionError>>;
+    ) -> StoreFuture<'_, Result<CollectionAnswer, CollectionError>>;
 
     /// Returns the current changes after revision `since`; they may be a few seconds old.
-    fn poll(&self, kind: Kind, since: u64) -> StoreFuture<'_, Result<Answer, CollectionError>>;
+    fn poll(
+        &self,
+        kind: CollectionKind,
+        since: u64,
+    ) -> StoreFuture<'_, Result<CollectionAnswer, CollectionError>>;
 
     /// Writes the entry of this instance.
-    fn announce<'a>(
+    fn publish_instance<'a>(
         &'a self,
-        announcement: &'a Announcement,
+        entry: &'a InstanceEntry,
     ) -> StoreFuture<'a, Result<(), CollectionError>>;
 
-    /// Persists a record of such a request.
-    fn keep<'a>(&'a self, kept: &'a KeptRequest) -> StoreFuture<'a, Result<(), CollectionError>>;
+    /// Persists a record of a suspected request.
+    fn save_suspect<'a>(
+        &'a self,
+        record: &'a SuspectRecord,
+    ) -> StoreFuture<'a, Result<(), CollectionError>>;
 
     /// Deletes the record of a request.
-    fn forget(&self, request: Fingerprint) -> StoreFuture<'_, Result<(), CollectionError>>;
+    fn delete_suspect(&self, request: Fingerprint) -> StoreFuture<'_, Result<(), CollectionError>>;
 
     /// Deletes the entry of an instance that has left permanently.
-    fn withdraw<'a>(&'a self, name: &'a str) -> StoreFuture<'a, Result<(), CollectionError>>;
+    fn delete_instance<'a>(&'a self, name: &'a str)
+    -> StoreFuture<'a, Result<(), CollectionError>>;
 }
 
 /// Decodes the contents of stored objects.
-pub trait Decode: std::fmt::Debug + Send + Sync {
+pub trait DecodeContent: std::fmt::Debug + Send + Sync {
     /// Decodes a replica entry.
     ///
     /// # Errors
@@ -152,11 +160,11 @@
     ///
     /// # Errors
     /// Fails with a message that names the field.
-    fn instance(&self, name: &str, content: &Bytes) -> Result<Announcement, String>;
+    fn instance(&self, name: &str, content: &Bytes) -> Result<InstanceEntry, String>;
 
     /// Decodes the persisted record of a request suspected of crashing replicas.
     ///
     /// # Errors
     /// Fails with a message that names the field.
-    fn kept_request(&self, name: &str, content: &Bytes) -> Result<KeptRequest, String>;
+    fn suspect_record(&self, name: &str, content: &Bytes) -> Result<SuspectRecord, String>;
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -13,9 +13,10 @@
 pub mod stored;
 
 pub use backoff::Backoff;
-pub use claims::{BUCKETS, ClaimError, Claims, bucket_of};
+pub use claims::{BUCKET_COUNT, ClaimError, Claims, bucket_of};
 pub use collections::{
-    Announcement, Answer, CollectionError, Collections, Decode, KeptRequest, Kind,
+    CollectionAnswer, CollectionError, CollectionKind, Collections, DecodeContent, InstanceEntry,
+    SuspectRecord,
 };
 pub use http::HttpStore;
 pub use store::{ListedInstance, Object, ObjectStore, ReadError, StoreFuture, UpdateError};
--- a/crates/store/src/stored.rs
+++ b/crates/store/src/stored.rs
@@ -44,7 +44,7 @@
 impl StoredText {
     /// Returns the accepted edits in the form used by the decision logic.
     #[must_use]
-    pub fn remembered(&self) -> Vec<Edit> {
+    pub fn accepted_edits(&self) -> Vec<Edit> {
         self.edits.iter().map(|e| Edit { edit_id: e.edit_id, base: e.base }).collect()
     }
 }
