--- a/crates/caller/src/lib.rs
+++ b/crates/caller/src/lib.rs
@@ -11,5 +11,5 @@
 
 pub use answer::{Answer, Missed, Part, RunAnswer};
 pub use problem::{Problem, problem_response};
-pub use request::{Call, CallError, RunCall, headers};
-pub use serve::{Answering, Handler, StopPhase, serve};
+pub use request::{RequestError, RequestParams, RunParams, headers};
+pub use serve::{Handler, ResponseFuture, ShutdownPhase, serve};
--- a/crates/caller/src/request.rs
+++ b/crates/caller/src/request.rs
@@ -39,7 +39,7 @@
 
 /// Error of an invalid request.
 #[derive(Debug, Display, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum CallError {
+pub enum RequestError {
     /// header deadline-ms is required: the time in milliseconds in which the answer is needed
     NoDeadline,
     /// deadline-ms must lie between 1 and {max_ms}, got {given_ms}
@@ -81,7 +81,7 @@
 
 /// Parameters common to all requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Call {
+pub struct RequestParams {
     /// Time within which the answer is needed, in milliseconds.
     pub deadline_ms: u64,
     /// Team of the caller.
@@ -91,113 +91,122 @@
     /// Requested shards; `None` for all.
     pub shards: Option<BTreeSet<ShardId>>,
     /// Minimum accepted share of the requested shards, in percent.
-    pub least_coverage_percent: u32,
+    pub min_coverage_percent: u32,
     /// Requested index version.
     pub version: Option<IndexVersion>,
 }
 
 /// Parameters of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RunCall {
-    /// Deadline, team and shard.
-    pub call: Call,
+pub struct RunParams {
+    /// Deadline, team and shard, as in all requests.
+    pub common: RequestParams,
     /// Idempotency key.
     pub key: Key,
     /// Key as written by the caller.
     pub key_text: String,
 }
 
-impl TryFrom<(&HttpRequest, &Service)> for Call {
-    type Error = CallError;
+impl TryFrom<(&HttpRequest, &Service)> for RequestParams {
+    type Error = RequestError;
 
-    fn try_from((request, service): (&HttpRequest, &Service)) -> Result<Self, CallError> {
+    fn try_from((request, service): (&HttpRequest, &Service)) -> Result<Self, RequestError> {
         let (team, weight) = parse_team(request, service)?;
         Ok(Self {
             deadline_ms: parse_deadline(request, service)?,
             team,
             weight,
             shards: header(request, headers::SHARDS)?.map(parse_shards).transpose()?,
-            least_coverage_percent: parse_percent(request)?,
+            min_coverage_percent: parse_percent(request)?,
             version: number(request, headers::SNAPSHOT)?,
         })
     }
 }
 
-impl RunCall {
+impl RunParams {
     /// Validates a run; `now_ms` is in milliseconds since the Unix epoch.
     ///
     /// # Errors
     /// Fails if a header is missing or invalid, or the service does not accept runs.
-    pub fn check(request: &HttpRequest, service: &Service, now_ms: u64) -> Result<Self, CallError> {
+    pub fn parse(
+        request: &HttpRequest,
+        service: &Service,
+        now_ms: u64,
+    ) -> Result<Self, RequestError> {
         if service.run_connections == 0 {
-            return Err(CallError::NoRuns);
+            return Err(RequestError::NoRuns);
         }
-        let call = Call::try_from((request, service))?;
-        let text = header(request, headers::IDEMPOTENCY_KEY)?.ok_or(CallError::NoKey)?;
+        let common = RequestParams::try_from((request, service))?;
+        let text = header(request, headers::IDEMPOTENCY_KEY)?.ok_or(RequestError::NoKey)?;
         // The header's grammar requires a quoted string, but many clients omit the quotes.
         let unquoted = text.trim().trim_matches('"');
         let parsed = uuid::Uuid::try_parse(unquoted).ok();
         let time_based = parsed.filter(|u| u.get_version_num() == TIMED_UUID_VERSION);
-        let uuid = time_based.ok_or_else(|| CallError::BadKey(text.to_owned()))?;
+        let uuid = time_based.ok_or_else(|| RequestError::BadKey(text.to_owned()))?;
         let key = Key(uuid.as_u128());
         if key.issued_ms() > now_ms + MAX_CLOCK_SKEW_MS {
-            return Err(CallError::KeyAhead);
+            return Err(RequestError::KeyAhead);
         }
-        Ok(Self { call, key, key_text: uuid.to_string() })
+        Ok(Self { common, key, key_text: uuid.to_string() })
     }
 }
 
-fn header<'a>(request: &'a HttpRequest, name: &'static str) -> Result<Option<&'a str>, CallError> {
+fn header<'a>(
+    request: &'a HttpRequest,
+    name: &'static str,
+) -> Result<Option<&'a str>, RequestError> {
     let Some(value) = request.headers().get(name) else { return Ok(None) };
-    let bad_header =
-        || CallError::BadHeader { name, value: String::from_utf8_lossy(value.as_bytes()).into() };
+    let bad_header = || RequestError::BadHeader {
+        name,
+        value: String::from_utf8_lossy(value.as_bytes()).into(),
+    };
     value.to_str().map(Some).map_err(|_| bad_header())
 }
 
 fn number<T: std::str::FromStr>(
     request: &HttpRequest,
     name: &'static str,
-) -> Result<Option<T>, CallError> {
+) -> Result<Option<T>, RequestError> {
     let Some(text) = header(request, name)? else { return Ok(None) };
-    let bad_header = || CallError::BadHeader { name, value: text.to_owned() };
+    let bad_header = || RequestError::BadHeader { name, value: text.to_owned() };
     text.trim().parse().map(Some).map_err(|_| bad_header())
 }
 
-fn parse_deadline(request: &HttpRequest, service: &Service) -> Result<u64, CallError> {
+fn parse_deadline(request: &HttpRequest, service: &Service) -> Result<u64, RequestError> {
     let given = number::<u64>(request, headers::DEADLINE)?;
     let default = (service.deadline_ms > 0).then_some(service.deadline_ms);
-    let deadline_ms = given.or(default).ok_or(CallError::NoDeadline)?;
+    let deadline_ms = given.or(default).ok_or(RequestError::NoDeadline)?;
     if deadline_ms == 0 || deadline_ms > service.max_deadline_ms {
         let max_ms = service.max_deadline_ms;
-        return Err(CallError::DeadlineOutOfRange { given_ms: deadline_ms, max_ms });
+        return Err(RequestError::DeadlineOutOfRange { given_ms: deadline_ms, max_ms });
     }
     Ok(deadline_ms)
 }
 
-fn parse_team(request: &HttpRequest, service: &Service) -> Result<(String, u32), CallError> {
+fn parse_team(request: &HttpRequest, service: &Service) -> Result<(String, u32), RequestError> {
     let name = header(request, headers::TEAM)?.unwrap_or(DEFAULT_TEAM);
     if !is_valid_name(name) {
-        return Err(CallError::BadHeader { name: headers::TEAM, value: name.to_owned() });
+        return Err(RequestError::BadHeader { name: headers::TEAM, value: name.to_owned() });
     }
     if service.teams.is_empty() {
         return Ok((name.to_owned(), 1));
     }
     let weight = service.teams.get(name).copied();
-    weight.map(|w| (name.to_owned(), w)).ok_or_else(|| CallError::UnknownTeam(name.to_owned()))
+    weight.map(|w| (name.to_owned(), w)).ok_or_else(|| RequestError::UnknownTeam(name.to_owned()))
 }
 
-fn parse_percent(request: &HttpRequest) -> Result<u32, CallError> {
+fn parse_percent(request: &HttpRequest) -> Result<u32, RequestError> {
     const MAX_PERCENT: u32 = 100;
     let percent = number::<u32>(request, headers::MIN_COVERAGE)?.unwrap_or(0);
     if percent > MAX_PERCENT {
         let value = percent.to_string();
-        return Err(CallError::BadHeader { name: headers::MIN_COVERAGE, value });
+        return Err(RequestError::BadHeader { name: headers::MIN_COVERAGE, value });
     }
     Ok(percent)
 }
 
-fn parse_shards(list: &str) -> Result<BTreeSet<ShardId>, CallError> {
-    let bad_header = || CallError::BadHeader { name: headers::SHARDS, value: list.to_owned() };
+fn parse_shards(list: &str) -> Result<BTreeSet<ShardId>, RequestError> {
+    let bad_header = || RequestError::BadHeader { name: headers::SHARDS, value: list.to_owned() };
     let mut shards = BTreeSet::new();
     for entry in list.split(',') {
         shards.extend(parse_range(entry).ok_or_else(bad_header)?);
--- a/crates/caller/src/serve.rs
+++ b/crates/caller/src/serve.rs
@@ -29,32 +29,32 @@
 
 /// Phase of a planned shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum StopPhase {
+pub enum ShutdownPhase {
     /// Requests are served normally.
     Serving,
     /// Requests are served, and answers ask callers to reconnect.
-    Leaving,
+    Draining,
     /// Idle connections are closed; requests in progress finish.
     Closing,
 }
 
 /// Future of an answer.
-pub type Answering = Pin<Box<dyn Future<Output = Response<Full<Bytes>>>>>;
+pub type ResponseFuture = Pin<Box<dyn Future<Output = Response<Full<Bytes>>>>>;
 
 /// Handler of callers' requests.
 pub trait Handler {
     /// Answers one request; the future is dropped if the caller disconnects.
-    fn answer(&self, request: Request<Incoming>) -> Answering;
+    fn answer(&self, request: Request<Incoming>) -> ResponseFuture;
 
     /// Returns the limits for the next connection.
     fn limits(&self) -> CallerLimits;
 }
 
-/// Accepts connections until [`StopPhase::Closing`]; returns after the last one has ended.
+/// Accepts connections until [`ShutdownPhase::Closing`]; returns after the last one has ended.
 pub async fn serve(
     listener: TcpListener,
     handler: Rc<dyn Handler>,
-    mut phase: watch::Receiver<StopPhase>,
+    mut phase: watch::Receiver<ShutdownPhase>,
 ) {
     // Every connection holds a clone of the sender; the receiver returns `None` once all are
     // dropped.
@@ -62,7 +62,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = phase.wait_for(|p| *p == StopPhase::Closing) => break,
+            _ = phase.wait_for(|p| *p == ShutdownPhase::Closing) => break,
         };
         match accepted {
             Ok((stream, from)) => {
@@ -88,7 +88,7 @@
     stream: TcpStream,
     from: SocketAddr,
     handler: Rc<dyn Handler>,
-    mut phase: watch::Receiver<StopPhase>,
+    mut phase: watch::Receiver<ShutdownPhase>,
 ) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("failed to set TCP_NODELAY on the connection from {from}: {error}");
@@ -96,11 +96,11 @@
     let limits = handler.limits();
     let current_phase = phase.clone();
     let service = service_fn(move |request: Request<Incoming>| {
-        let answering = handler.answer(request);
+        let response_future = handler.answer(request);
         let current_phase = current_phase.clone();
         async move {
-            let mut answer = answering.await;
-            if *current_phase.borrow() > StopPhase::Serving {
+            let mut answer = response_future.await;
+            if *current_phase.borrow() > ShutdownPhase::Serving {
                 answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
             Ok::<_, std::convert::Infallible>(answer)
@@ -117,7 +117,7 @@
     let mut connection = std::pin::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        _ = phase.wait_for(|p| *p == StopPhase::Closing) => {
+        _ = phase.wait_for(|p| *p == ShutdownPhase::Closing) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
--- a/crates/eelgrasspier/src/query.rs
+++ b/crates/eelgrasspier/src/query.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use eelgrasspier_caller::{Answer, Call, CallError, Missed, Part};
+use eelgrasspier_caller::{Answer, Missed, Part, RequestError, RequestParams};
 use eelgrasspier_decide::prelude::{Refusal, RefusalReason, ShardId};
 use eelgrasspier_decide::quarantine::Treatment;
 use eelgrasspier_decide::snapshot::Snapshot;
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub(crate) struct Query {
     pub(crate) service: Rc<ServiceState>,
-    pub(crate) call: Call,
+    pub(crate) params: RequestParams,
     pub(crate) request_id: Rc<str>,
     pub(crate) body: Bytes,
     pub(crate) deadline: Instant,
@@ -56,16 +56,16 @@
     /// Returns a refusal if the query is quarantined, not admitted, has no snapshot or lacks
     /// coverage.
     pub(crate) async fn execute(self, traffic: &Rc<TrafficThread>) -> Result<Answer, Refusal> {
-        let call = &self.call;
+        let params = &self.params;
         let scope = (&*self.service.name, QUERY_KIND);
         let crash_tracker = CrashTracker::new(&traffic.shared, scope, &self.body, &self.request_id);
         if let Treatment::Refused(left_ms) = crash_tracker.treatment() {
             return Err(Refusal::not_run(RefusalReason::CrashesReplicas, Some(left_ms)));
         }
-        let budget = Duration::from_millis(call.deadline_ms);
+        let budget = Duration::from_millis(params.deadline_ms);
         let margin = MIN_RESPONSE_MARGIN.max(budget / RESPONSE_MARGIN_DIVISOR);
         let cutoff = self.deadline.checked_sub(margin).unwrap_or(self.deadline);
-        let admitted = self.service.admit(&call.team, call.weight, cutoff, epoch_ms).await?;
+        let admitted = self.service.admit(&params.team, params.weight, cutoff, epoch_ms).await?;
         let snapshot = self.select_snapshot(traffic, cutoff).await?;
         let wanted = self.requested_shards(snapshot)?;
         let mut context = PartContext {
@@ -102,7 +102,7 @@
         cutoff: Instant,
     ) -> Result<Snapshot, Refusal> {
         let refuse = |reason| Refusal::not_run(reason, Some(RETRY_AFTER_MS));
-        if let Some(version) = self.call.version {
+        if let Some(version) = self.params.version {
             let at = traffic.snapshot_at(&self.service, version);
             return at.ok_or_else(|| refuse(RefusalReason::SnapshotGone(version)));
         }
@@ -124,11 +124,11 @@
 
     fn requested_shards(&self, snapshot: Snapshot) -> Result<Vec<ShardId>, Refusal> {
         let Snapshot { version, shard_count, .. } = snapshot;
-        let Some(chosen) = &self.call.shards else {
+        let Some(chosen) = &self.params.shards else {
             return Ok((0..shard_count).collect());
         };
         if let Some(&shard) = chosen.iter().find(|&&shard| shard >= shard_count) {
-            let error = CallError::UnknownShard { shard, version, shard_count };
+            let error = RequestError::UnknownShard { shard, version, shard_count };
             let reason = RefusalReason::BadRequest(error.to_string());
             return Err(Refusal::not_run(reason, None));
         }
@@ -140,7 +140,8 @@
     /// The parts of the first attempt are discarded, because an answer must not mix versions.
     fn retry_snapshot(&self, context: &PartContext, gathered: &GatherResult) -> Option<Snapshot> {
         let left = context.cutoff.saturating_duration_since(Instant::now());
-        if self.call.version.is_some() || !gathered.is_version_gone() || left < MIN_TIME_FOR_RETRY {
+        if self.params.version.is_some() || !gathered.is_version_gone() || left < MIN_TIME_FOR_RETRY
+        {
             return None;
         }
         let newer = context.traffic.choose_snapshot(&self.service)?;
@@ -151,7 +152,7 @@
         const PERCENT: usize = 100;
         let covered = gathered.parts.len();
         let total = covered + gathered.missed.len();
-        let required = (total * self.call.least_coverage_percent as usize).div_ceil(PERCENT);
+        let required = (total * self.params.min_coverage_percent as usize).div_ceil(PERCENT);
         if covered >= required {
             return Ok(());
         }
--- a/crates/eelgrasspier/src/run.rs
+++ b/crates/eelgrasspier/src/run.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use eelgrasspier_backend::{PartFailure, PartRequest, RequestKind};
-use eelgrasspier_caller::{RunAnswer, RunCall};
+use eelgrasspier_caller::{RunAnswer, RunParams};
 use eelgrasspier_decide::claim::{Attempt, ClaimResult, Nonce};
 use eelgrasspier_decide::prelude::{Refusal, RefusalReason, ShardId, Verdict};
 use eelgrasspier_decide::quarantine::Treatment;
@@ -37,7 +37,7 @@
 #[derive(Debug)]
 pub(crate) struct Run {
     pub(crate) service: Rc<ServiceState>,
-    pub(crate) call: RunCall,
+    pub(crate) params: RunParams,
     pub(crate) request_id: Rc<str>,
     pub(crate) body: Bytes,
     pub(crate) deadline: Instant,
@@ -54,7 +54,7 @@
 impl Drop for ClaimGuard<'_> {
     fn drop(&mut self) {
         if self.attempt == Attempt::Claimed {
-            let request = ControlRequest::Release { key: self.run.call.key, nonce: self.nonce };
+            let request = ControlRequest::Release { key: self.run.params.key, nonce: self.nonce };
             drop(self.traffic.shared.control.send(request));
         }
     }
@@ -76,8 +76,9 @@
         // A run goes to a single server anyway, so it needs no further isolation.
         let trial =
             (treatment == Treatment::OneReplicaAtATime).then(|| crash_tracker.enter_trial());
-        let call = &self.call.call;
-        let admitted = self.service.admit(&call.team, call.weight, self.deadline, epoch_ms).await?;
+        let common = &self.params.common;
+        let admitted =
+            self.service.admit(&common.team, common.weight, self.deadline, epoch_ms).await?;
         let result = self.claim_and_send(traffic, &crash_tracker).await;
         drop(trial);
         drop(admitted);
@@ -91,7 +92,7 @@
     /// Rejects shard numbers that the service does not have.
     fn check_shard(&self) -> Result<(), Refusal> {
         let count = self.service.shards.len();
-        let chosen = self.call.call.shards.as_ref().and_then(|s| s.first().copied());
+        let chosen = self.params.common.shards.as_ref().and_then(|s| s.first().copied());
         match chosen {
             Some(shard) if shard as usize >= count => {
                 let reason = format!("unknown shard {shard}: the service has {count}");
@@ -110,7 +111,7 @@
         let permit = self.acquire_permit(traffic, None).await?;
         let mut claim = self.claim(traffic).await?;
         let record = |e, detail: &str| traffic.shared.timeline.record(e, &self.request_id, detail);
-        record(event::RUN_CLAIMED, &format!("key {} nonce {}", self.call.key_text, claim.nonce));
+        record(event::RUN_CLAIMED, &format!("key {} nonce {}", self.params.key_text, claim.nonce));
         let mut permit = permit;
         loop {
             if Instant::now() >= self.deadline {
@@ -150,7 +151,7 @@
 
     async fn claim<'a>(&'a self, traffic: &'a TrafficThread) -> Result<ClaimGuard<'a>, Refusal> {
         let nonce: Nonce = rand::random();
-        let key = self.call.key;
+        let key = self.params.key;
         let until = self.deadline.checked_sub(MIN_EXECUTION_TIME).unwrap_or(self.deadline);
         let answer = traffic
             .shared
@@ -231,15 +232,15 @@
 
     /// Returns the shard requested by the caller, or one derived from the idempotency key.
     fn target_shard(&self) -> Option<ShardId> {
-        let chosen = self.call.call.shards.as_ref().and_then(|s| s.first().copied());
+        let chosen = self.params.common.shards.as_ref().and_then(|s| s.first().copied());
         let count = self.service.shards.len() as u128;
-        chosen.or_else(|| ShardId::try_from(self.call.key.0.checked_rem(count)?).ok())
+        chosen.or_else(|| ShardId::try_from(self.params.key.0.checked_rem(count)?).ok())
     }
 
     async fn send(&self, traffic: &TrafficThread, permit: Permit) -> CompletedExchange {
         let request = PartRequest {
             addr: permit.replica().spec.addr,
-            kind: RequestKind::Run { key: self.call.key_text.clone() },
+            kind: RequestKind::Run { key: self.params.key_text.clone() },
             service: Rc::clone(&self.service.name),
             shard: self.target_shard().unwrap_or_default(),
             version: None,
--- a/crates/eelgrasspier/src/web.rs
+++ b/crates/eelgrasspier/src/web.rs
@@ -6,7 +6,9 @@
 use actix_web::http::header;
 use actix_web::web::{self, Bytes, Data, Json, Path, Payload, Query as UrlQuery};
 use actix_web::{HttpRequest, HttpResponse};
-use eelgrasspier_caller::{Answer, Call, CallError, RunAnswer, RunCall, problem_response};
+use eelgrasspier_caller::{
+    Answer, RequestError, RequestParams, RunAnswer, RunParams, problem_response,
+};
 use eelgrasspier_decide::prelude::{Refusal, RefusalReason};
 use eelgrasspier_operator::{SubmitAnswer, Submitted, tokens_match};
 use eelgrasspier_telemetry::Page;
@@ -71,11 +73,11 @@
     request_id: &Rc<str>,
 ) -> Result<Answer, Refusal> {
     let started = Instant::now();
-    let check = |service: &ServiceState| Call::try_from((request, &*service.spec));
-    let (service, call, body) = prepare(name, payload, traffic, check).await?;
-    let deadline = started + Duration::from_millis(call.deadline_ms);
+    let parse = |service: &ServiceState| RequestParams::try_from((request, &*service.spec));
+    let (service, params, body) = prepare(name, payload, traffic, parse).await?;
+    let deadline = started + Duration::from_millis(params.deadline_ms);
     let request_id = Rc::clone(request_id);
-    Query { service, call, request_id, body, deadline }.execute(traffic).await
+    Query { service, params, request_id, body, deadline }.execute(traffic).await
 }
 
 fn count_shards(answer: &Answer) {
@@ -106,10 +108,10 @@
     request_id: &Rc<str>,
 ) -> Result<RunAnswer, Refusal> {
     let started = Instant::now();
-    let check = |service: &ServiceState| RunCall::check(request, &service.spec, epoch_ms());
-    let (service, call, body) = prepare(name, payload, traffic, check).await?;
-    let deadline = started + Duration::from_millis(call.call.deadline_ms);
-    let run = Run { service, call, request_id: Rc::clone(request_id), body, deadline };
+    let parse = |service: &ServiceState| RunParams::parse(request, &service.spec, epoch_ms());
+    let (service, params, body) = prepare(name, payload, traffic, parse).await?;
+    let deadline = started + Duration::from_millis(params.common.deadline_ms);
+    let run = Run { service, params, request_id: Rc::clone(request_id), body, deadline };
     let traffic = Rc::clone(traffic);
     // Run in a separate task, so that a caller that disconnects does not abort a started run.
     let task = actix_rt::spawn(async move { run.execute(&traffic).await });
@@ -123,10 +125,10 @@
     name: &str,
     payload: Payload,
     traffic: &Rc<TrafficThread>,
-    check: impl FnOnce(&ServiceState) -> Result<C, CallError>,
+    parse: impl FnOnce(&ServiceState) -> Result<C, RequestError>,
 ) -> Result<(Rc<ServiceState>, C, Bytes), Refusal> {
     let service = find_service(traffic, name)?;
-    let call = check(&service).map_err(|error| bad_request(&error))?;
+    let params = parse(&service).map_err(|error| bad_request(&error))?;
     let limit = service.spec.max_request_bytes;
     let body = payload.to_bytes_limited(limit).await;
     let body = match body {
@@ -137,7 +139,7 @@
         }
         Err(_) => return Err(Refusal::not_run(RefusalReason::BodyTooLarge(limit), None)),
     };
-    Ok((service, call, body))
+    Ok((service, params, body))
 }
 
 fn find_service(traffic: &Rc<TrafficThread>, name: &str) -> Result<Rc<ServiceState>, Refusal> {
@@ -149,7 +151,7 @@
     service.ok_or_else(|| Refusal::not_run(RefusalReason::UnknownService(name.to_owned()), None))
 }
 
-fn bad_request(error: &CallError) -> Refusal {
+fn bad_request(error: &RequestError) -> Refusal {
     Refusal::not_run(RefusalReason::BadRequest(error.to_string()), None)
 }
 
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -10,7 +10,7 @@
 use actix_rt::signal::unix::{SignalKind, signal};
 use bytes::Bytes;
 use displaydoc::Display;
-use eelgrasspier_caller::{Answering, Handler, StopPhase, serve};
+use eelgrasspier_caller::{Handler, ResponseFuture, ShutdownPhase, serve};
 use eelgrasspier_decide::route::CallerLimits;
 use eelgrasspier_store::{Collections, DecodeContent};
 use eelgrasspier_telemetry::{Latency, Page, TelemetryError};
@@ -156,9 +156,9 @@
     let peer_handler = Rc::new(PeerRequestHandler::new(Rc::clone(&router), control.clone()));
     actix_rt::spawn(eelgrasspier_peer::serve(peer, peer_handler));
 
-    let (phase, phase_changes) = watch::channel(StopPhase::Serving);
+    let (phase, phase_changes) = watch::channel(ShutdownPhase::Serving);
     // Readiness and metrics are served until the process ends.
-    let (_keep_open, until_exit) = watch::channel(StopPhase::Serving);
+    let (_keep_open, until_exit) = watch::channel(ShutdownPhase::Serving);
     let readiness =
         Rc::new(ReadinessProbe { shared: Arc::clone(&shared), phase: phase_changes.clone() });
     actix_rt::spawn(serve(ready, readiness, until_exit.clone()));
@@ -182,11 +182,11 @@
     let grace = grace.get().saturating_sub(GRACE_MARGIN);
     log::info!("event=stopping grace_ms={}", grace.as_millis());
     let stop_started = tokio::time::Instant::now();
-    phase.send_replace(StopPhase::Leaving);
+    phase.send_replace(ShutdownPhase::Draining);
     // If the control thread has ended, there is nobody to notify.
     let _is_disconnected = control.send(Ask::Stop).is_err();
     tokio::time::sleep(DRAIN_TIME.min(grace / 2)).await;
-    phase.send_replace(StopPhase::Closing);
+    phase.send_replace(ShutdownPhase::Closing);
     let drained = tokio::time::timeout_at(stop_started + grace, serving).await;
     log::info!("event=stopped cut_short={}", drained.is_err());
     arbiter.stop();
@@ -211,12 +211,12 @@
 /// Answers the load balancer's readiness probe.
 struct ReadinessProbe {
     shared: Arc<Shared>,
-    phase: watch::Receiver<StopPhase>,
+    phase: watch::Receiver<ShutdownPhase>,
 }
 
 impl Handler for ReadinessProbe {
-    fn answer(&self, _request: Request<Incoming>) -> Answering {
-        let is_serving = *self.phase.borrow() == StopPhase::Serving;
+    fn answer(&self, _request: Request<Incoming>) -> ResponseFuture {
+        let is_serving = *self.phase.borrow() == ShutdownPhase::Serving;
         let is_ready = is_serving && self.shared.view.load().is_ready();
         let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         page(status, Bytes::new())
@@ -231,7 +231,7 @@
 struct MetricsPage(Page);
 
 impl Handler for MetricsPage {
-    fn answer(&self, _request: Request<Incoming>) -> Answering {
+    fn answer(&self, _request: Request<Incoming>) -> ResponseFuture {
         match self.0.render() {
             Ok(text) => page(StatusCode::OK, text.into()),
             Err(error) => {
@@ -246,7 +246,7 @@
     }
 }
 
-fn page(status: StatusCode, body: Bytes) -> Answering {
+fn page(status: StatusCode, body: Bytes) -> ResponseFuture {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
     let response_future: Pin<Box<dyn Future<Output = _>>> = Box::pin(std::future::ready(response));
