--- a/crates/eelgrasspier/src/control/mod.rs
+++ b/crates/eelgrasspier/src/control/mod.rs
@@ -140,10 +140,10 @@
                 }
                 ControlRequest::Release { key, nonce } => self.claims.release(key, nonce),
                 ControlRequest::ServerLeaving(server) => self.on_server_leaving(server),
-                ControlRequest::Submit { submitted, reply } => {
+                ControlRequest::Submit { submit_request, reply } => {
                     let control = Rc::clone(&self);
                     actix_rt::spawn(async move {
-                        drop(reply.send(control.submit(submitted).await));
+                        drop(reply.send(control.submit(submit_request).await));
                     });
                 }
                 ControlRequest::Text { reply } => {
--- a/crates/eelgrasspier/src/control/text.rs
+++ b/crates/eelgrasspier/src/control/text.rs
@@ -10,7 +10,7 @@
 use eelgrasspier_decide::membership::{InstanceState, Member};
 use eelgrasspier_decide::prelude::Services;
 use eelgrasspier_decide::rendezvous;
-use eelgrasspier_operator::{SubmitAnswer, Submitted, TextResponse};
+use eelgrasspier_operator::{SubmitRequest, SubmitResponse, TextResponse};
 use eelgrasspier_peer::wire::Body;
 use eelgrasspier_store::stored::{StoredEdit, StoredText, TEXT_OBJECT};
 use eelgrasspier_store::{Backoff, Object, UpdateError};
@@ -218,30 +218,30 @@
     }
 
     /// Submits an edit, retrying until its outcome is known or the timeout expires.
-    pub(super) async fn submit(&self, submitted: Submitted) -> SubmitAnswer {
-        if let Err(errors) = Services::try_from(submitted.text.as_str()) {
-            return SubmitAnswer::Broken { errors: errors.to_string() };
+    pub(super) async fn submit(&self, submit_request: SubmitRequest) -> SubmitResponse {
+        if let Err(errors) = Services::try_from(submit_request.text.as_str()) {
+            return SubmitResponse::Broken { errors: errors.to_string() };
         }
         let until = Instant::now() + SUBMIT_TIMEOUT;
         let mut backoff = Backoff::new(BACKOFF_RANGE_MS.0, BACKOFF_RANGE_MS.1);
         let mut reason = String::new();
         while Instant::now() < until {
-            match self.try_submit(&submitted).await {
+            match self.try_submit(&submit_request).await {
                 Ok(answer) => {
-                    self.record_submission(&submitted, &answer);
+                    self.record_submission(&submit_request, &answer);
                     return answer;
                 }
                 Err(error) => reason = error,
             }
             tokio::time::sleep(backoff.next_delay()).await;
         }
-        let answer = SubmitAnswer::Unknown { reason };
-        self.record_submission(&submitted, &answer);
+        let answer = SubmitResponse::Unknown { reason };
+        self.record_submission(&submit_request, &answer);
         answer
     }
 
     /// Reads the text once and updates it conditionally if the edit is still undecided.
-    async fn try_submit(&self, submitted: &Submitted) -> Result<SubmitAnswer, String> {
+    async fn try_submit(&self, submit_request: &SubmitRequest) -> Result<SubmitResponse, String> {
         let read = self.store.read(TEXT_OBJECT).await.map_err(|e| e.to_string())?;
         let (version, mut stored) = match read {
             None => (0, StoredText::default()),
@@ -254,18 +254,18 @@
                 (version, stored)
             }
         };
-        let edit = Edit { edit_id: submitted.edit_id, base: submitted.base };
+        let edit = Edit { edit_id: submit_request.edit_id, base: submit_request.base };
         match config::resolve(&edit, version, &stored.accepted_edits()) {
-            Submission::Accepted(version) => return Ok(SubmitAnswer::Accepted { version }),
-            Submission::Superseded(version) => return Ok(SubmitAnswer::Superseded { version }),
-            Submission::Conflict(version) => return Ok(SubmitAnswer::Conflict { version }),
+            Submission::Accepted(version) => return Ok(SubmitResponse::Accepted { version }),
+            Submission::Superseded(version) => return Ok(SubmitResponse::Superseded { version }),
+            Submission::Conflict(version) => return Ok(SubmitResponse::Conflict { version }),
             Submission::Open => {}
         }
-        stored.text.clone_from(&submitted.text);
+        stored.text.clone_from(&submit_request.text);
         stored.edits.push(StoredEdit {
-            edit_id: submitted.edit_id,
-            base: submitted.base,
-            submitter: submitted.submitter.clone(),
+            edit_id: submit_request.edit_id,
+            base: submit_request.base,
+            submitter: submit_request.submitter.clone(),
         });
         let surplus = stored.edits.len().saturating_sub(config::MAX_RECENT_EDITS);
         stored.edits.drain(..surplus);
@@ -274,7 +274,7 @@
         match self.store.update(TEXT_OBJECT, expected, value.clone()).await {
             Ok(version) => {
                 self.apply_text(version, value, "submission");
-                Ok(SubmitAnswer::Accepted { version })
+                Ok(SubmitResponse::Accepted { version })
             }
             // The next attempt reads the text again and finds this edit or a different one.
             Err(UpdateError::Conflict) => Err("conflict".to_owned()),
@@ -282,14 +282,18 @@
         }
     }
 
-    fn record_submission(&self, submitted: &Submitted, answer: &SubmitAnswer) {
+    fn record_submission(&self, submit_request: &SubmitRequest, answer: &SubmitResponse) {
         let event = match answer {
-            SubmitAnswer::Accepted { .. } | SubmitAnswer::Superseded { .. } => event::EDIT_ACCEPTED,
-            SubmitAnswer::Conflict { .. } => event::EDIT_CONFLICT,
+            SubmitResponse::Accepted { .. } | SubmitResponse::Superseded { .. } => {
+                event::EDIT_ACCEPTED
+            }
+            SubmitResponse::Conflict { .. } => event::EDIT_CONFLICT,
             _ => event::EDIT_UNKNOWN,
         };
-        let detail =
-            format!("by {} on version {}: {answer:?}", submitted.submitter, submitted.base);
-        self.record(event, &submitted.edit_id.to_string(), &detail);
+        let detail = format!(
+            "by {} on version {}: {answer:?}",
+            submit_request.submitter, submit_request.base
+        );
+        self.record(event, &submit_request.edit_id.to_string(), &detail);
     }
 }
--- a/crates/eelgrasspier/src/shared.rs
+++ b/crates/eelgrasspier/src/shared.rs
@@ -9,7 +9,9 @@
 use eelgrasspier_decide::claim::{ClaimResult, Key, Nonce};
 use eelgrasspier_decide::draining::ServerIncarnation;
 use eelgrasspier_decide::quarantine::Report;
-use eelgrasspier_operator::{InstanceStatus, SubmitAnswer, Submitted, TextResponse, TimelineEntry};
+use eelgrasspier_operator::{
+    InstanceStatus, SubmitRequest, SubmitResponse, TextResponse, TimelineEntry,
+};
 use eelgrasspier_peer::wire::{PartsDone, QueryPartsRequest};
 use eelgrasspier_store::ClaimError;
 use tokio::sync::{mpsc, oneshot};
@@ -34,7 +36,7 @@
     /// Reports that a backend server announced that it is leaving.
     ServerLeaving(ServerIncarnation),
     /// Submits an edit of the operators' text.
-    Submit { submitted: Submitted, reply: oneshot::Sender<SubmitAnswer> },
+    Submit { submit_request: SubmitRequest, reply: oneshot::Sender<SubmitResponse> },
     /// Returns the text in force.
     Text { reply: oneshot::Sender<Option<TextResponse>> },
     /// Returns the status of all instances.
--- a/crates/eelgrasspier/src/web.rs
+++ b/crates/eelgrasspier/src/web.rs
@@ -10,7 +10,7 @@
     Answer, RequestError, RequestParams, RunAnswer, RunParams, problem_response,
 };
 use eelgrasspier_decide::prelude::{Refusal, RefusalReason};
-use eelgrasspier_operator::{SubmitAnswer, Submitted, tokens_match};
+use eelgrasspier_operator::{SubmitRequest, SubmitResponse, tokens_match};
 use eelgrasspier_telemetry::Page;
 use serde::Deserialize;
 
@@ -227,22 +227,22 @@
 
 async fn submit_text(
     request: HttpRequest,
-    submitted: Json<Submitted>,
+    submit_request: Json<SubmitRequest>,
     traffic: TrafficData,
 ) -> HttpResponse {
     if !may_submit(&request, traffic.shared.settings.admin_token.as_deref()) {
-        return HttpResponse::Forbidden().json(SubmitAnswer::Forbidden);
+        return HttpResponse::Forbidden().json(SubmitResponse::Forbidden);
     }
-    let submitted = submitted.into_inner();
+    let submit_request = submit_request.into_inner();
     let answer =
-        traffic.shared.call_control(|reply| ControlRequest::Submit { submitted, reply }).await;
+        traffic.shared.call_control(|reply| ControlRequest::Submit { submit_request, reply }).await;
     let Some(answer) = answer else { return HttpResponse::ServiceUnavailable().finish() };
     let mut response = match &answer {
-        SubmitAnswer::Accepted { .. } | SubmitAnswer::Superseded { .. } => HttpResponse::Ok(),
-        SubmitAnswer::Conflict { .. } => HttpResponse::Conflict(),
-        SubmitAnswer::Broken { .. } => HttpResponse::UnprocessableEntity(),
-        SubmitAnswer::Unknown { .. } => HttpResponse::ServiceUnavailable(),
-        SubmitAnswer::Forbidden => HttpResponse::Forbidden(),
+        SubmitResponse::Accepted { .. } | SubmitResponse::Superseded { .. } => HttpResponse::Ok(),
+        SubmitResponse::Conflict { .. } => HttpResponse::Conflict(),
+        SubmitResponse::Broken { .. } => HttpResponse::UnprocessableEntity(),
+        SubmitResponse::Unknown { .. } => HttpResponse::ServiceUnavailable(),
+        SubmitResponse::Forbidden => HttpResponse::Forbidden(),
     };
     response.json(answer)
 }
--- a/crates/operator/src/cli.rs
+++ b/crates/operator/src/cli.rs
@@ -9,7 +9,7 @@
 use eelgrasspier_decide::prelude::Services;
 
 use crate::client::{AdminClient, AdminError};
-use crate::messages::{InstanceStatus, SubmitAnswer, Submitted};
+use crate::messages::{InstanceStatus, SubmitRequest, SubmitResponse};
 use crate::output;
 
 /// Time between polls of the instances or retries of an edit.
@@ -152,27 +152,29 @@
     let edit_id = new_edit_id();
     let text = read_file(file)?;
     let base = base.to_packed();
-    let edit = Submitted { edit_id, base, submitter: submitter.to_owned(), text };
+    let edit = SubmitRequest { edit_id, base, submitter: submitter.to_owned(), text };
     println!("edit {edit_id}");
     let client = target.client();
     match submit_until_known(&client, &edit).await {
-        Ok(SubmitAnswer::Accepted { version }) => {
+        Ok(SubmitResponse::Accepted { version }) => {
             println!("accepted as version {}", Position::from_packed(version));
             if wait { wait_in_force(&client, version).await } else { Ok(()) }
         }
-        Ok(SubmitAnswer::Superseded { version }) => {
+        Ok(SubmitResponse::Superseded { version }) => {
             println!("accepted, and superseded by version {}", Position::from_packed(version));
             Ok(())
         }
-        Ok(SubmitAnswer::Conflict { version }) => {
+        Ok(SubmitResponse::Conflict { version }) => {
             let now = Position::from_packed(version);
             Err(format!(
                 "edit rejected: the text is at version {now} now; base the edit on that version"
             ))
         }
-        Ok(SubmitAnswer::Broken { errors }) => Err(errors),
-        Ok(SubmitAnswer::Forbidden) => Err("not authorized: token is missing or wrong".to_owned()),
-        Ok(SubmitAnswer::Unknown { reason }) => Err(format!("edit not confirmed: {reason}")),
+        Ok(SubmitResponse::Broken { errors }) => Err(errors),
+        Ok(SubmitResponse::Forbidden) => {
+            Err("not authorized: token is missing or wrong".to_owned())
+        }
+        Ok(SubmitResponse::Unknown { reason }) => Err(format!("edit not confirmed: {reason}")),
         Err(error) => Err(error.to_string()),
     }
 }
@@ -180,11 +182,11 @@
 /// Submits the same edit until its outcome is known or the attempts are exhausted.
 async fn submit_until_known(
     client: &AdminClient,
-    edit: &Submitted,
-) -> Result<SubmitAnswer, AdminError> {
+    edit: &SubmitRequest,
+) -> Result<SubmitResponse, AdminError> {
     let mut last = client.submit(edit).await;
     for _ in 1..MAX_SUBMIT_ATTEMPTS {
-        if !matches!(last, Ok(SubmitAnswer::Unknown { .. }) | Err(AdminError::Unreachable(_))) {
+        if !matches!(last, Ok(SubmitResponse::Unknown { .. }) | Err(AdminError::Unreachable(_))) {
             break;
         }
         actix_rt::time::sleep(POLL_INTERVAL).await;
--- a/crates/operator/src/client.rs
+++ b/crates/operator/src/client.rs
@@ -7,7 +7,7 @@
 use displaydoc::Display;
 use serde::de::DeserializeOwned;
 
-use crate::messages::{InstanceStatus, SubmitAnswer, Submitted, TextResponse, TimelineEntry};
+use crate::messages::{InstanceStatus, SubmitRequest, SubmitResponse, TextResponse, TimelineEntry};
 
 /// Timeout of a call.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
@@ -84,7 +84,7 @@
     /// # Errors
     /// Fails if the instance is unreachable or its answer is invalid; submitting the same edit
     /// again is safe.
-    pub async fn submit(&self, edit: &Submitted) -> Result<SubmitAnswer, AdminError> {
+    pub async fn submit(&self, edit: &SubmitRequest) -> Result<SubmitResponse, AdminError> {
         let mut request = self.client.put(format!("{}/admin/text", self.base));
         if let Some(token) = &self.token {
             request = request.bearer_auth(token);
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -8,5 +8,5 @@
 pub use cli::{Command, options, run};
 pub use client::{AdminClient, AdminError};
 pub use messages::{
-    InstanceStatus, SubmitAnswer, Submitted, TextResponse, TimelineEntry, tokens_match,
+    InstanceStatus, SubmitRequest, SubmitResponse, TextResponse, TimelineEntry, tokens_match,
 };
--- a/crates/operator/src/messages.rs
+++ b/crates/operator/src/messages.rs
@@ -39,9 +39,9 @@
     pub text: String,
 }
 
-/// An edit to be submitted.
+/// Request to submit an edit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Submitted {
+pub struct SubmitRequest {
     /// Unique id of the edit, chosen by the submitter; the same on every retry.
     pub edit_id: u64,
     /// Version the edit is based on; 0 for the first text.
@@ -55,7 +55,7 @@
 /// Outcome of an edit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
-pub enum SubmitAnswer {
+pub enum SubmitResponse {
     /// The edit was accepted.
     Accepted {
         /// New version of the text.
--- a/crates/standin/src/cluster.rs
+++ b/crates/standin/src/cluster.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use awc::Client;
-use eelgrasspier_operator::{AdminClient, InstanceStatus, SubmitAnswer, Submitted};
+use eelgrasspier_operator::{AdminClient, InstanceStatus, SubmitRequest, SubmitResponse};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -252,9 +252,9 @@
     /// Fails if the edit is not accepted.
     pub async fn submit(&self, base: u64, edit_id: u64, text: &str) -> Result<u64, String> {
         let submitter = "standin".to_owned();
-        let edit = Submitted { edit_id, base, submitter, text: text.to_owned() };
+        let edit = SubmitRequest { edit_id, base, submitter, text: text.to_owned() };
         match self.admin(0).submit(&edit).await {
-            Ok(SubmitAnswer::Accepted { version }) => Ok(version),
+            Ok(SubmitResponse::Accepted { version }) => Ok(version),
             other => Err(format!("edit not accepted: {other:?}")),
         }
     }
--- a/crates/standin/tests/configuration.rs
+++ b/crates/standin/tests/configuration.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use eelgrasspier_operator::{SubmitAnswer, Submitted};
+use eelgrasspier_operator::{SubmitRequest, SubmitResponse};
 use eelgrasspier_standin::cluster::{TestCluster, wait_until};
 use eelgrasspier_standin::platform::Faults;
 use futures_util::future::join;
 
-fn edit(base: u64, edit_id: u64, text: &str) -> Submitted {
-    Submitted { edit_id, base, submitter: "test".to_owned(), text: text.to_owned() }
+fn edit(base: u64, edit_id: u64, text: &str) -> SubmitRequest {
+    SubmitRequest { edit_id, base, submitter: "test".to_owned(), text: text.to_owned() }
 }
 
 async fn wait_for_version(cluster: &TestCluster, version: u64) {
@@ -33,8 +33,8 @@
         let (first, second) = (cluster.admin(0), cluster.admin(1));
         let (a, b) = join(first.submit(&one), second.submit(&two)).await;
         let (a, b) = (a.unwrap(), b.unwrap());
-        let accepted = SubmitAnswer::Accepted { version: base + 1 };
-        let conflict = SubmitAnswer::Conflict { version: base + 1 };
+        let accepted = SubmitResponse::Accepted { version: base + 1 };
+        let conflict = SubmitResponse::Conflict { version: base + 1 };
         let pairs = [(accepted.clone(), conflict.clone()), (conflict, accepted)];
         assert!(pairs.contains(&(a.clone(), b.clone())), "{a:?} {b:?}");
         wait_for_version(&cluster, base + 1).await;
@@ -49,10 +49,10 @@
     let lost = Faults { lost_updates: 1, ..Faults::default() };
     cluster.set_platform_faults(&lost).await.unwrap();
     let answer = cluster.admin(0).submit(&edit(1, 7, &cluster.text())).await.unwrap();
-    assert_eq!(answer, SubmitAnswer::Accepted { version: 2 });
+    assert_eq!(answer, SubmitResponse::Accepted { version: 2 });
     // Submitting the same edit again, as after a lost connection, changes nothing.
     let again = cluster.admin(1).submit(&edit(1, 7, &cluster.text())).await.unwrap();
-    assert_eq!(again, SubmitAnswer::Accepted { version: 2 });
+    assert_eq!(again, SubmitResponse::Accepted { version: 2 });
     wait_for_version(&cluster, 2).await;
 }
 
@@ -90,11 +90,11 @@
 async fn invalid_texts_and_tokens_are_refused() {
     let cluster = common::cluster(1, 1).await;
     let broken = cluster.admin(0).submit(&edit(1, 9, "[a]\ndepends_on = b\n")).await.unwrap();
-    let SubmitAnswer::Broken { errors } = broken else { panic!("{broken:?}") };
+    let SubmitResponse::Broken { errors } = broken else { panic!("{broken:?}") };
     assert!(errors.contains("line 2: unknown dependency b"), "{errors}");
     let unauthorized_client =
         eelgrasspier_operator::AdminClient::new(&cluster.instances[0].url(), Some("x"));
     let answer = unauthorized_client.submit(&edit(1, 10, &cluster.text())).await.unwrap();
-    assert_eq!(answer, SubmitAnswer::Forbidden);
+    assert_eq!(answer, SubmitResponse::Forbidden);
     assert_eq!(cluster.admin(0).text().await.unwrap().version, 1);
 }
--- a/crates/standin/tests/restored.rs
+++ b/crates/standin/tests/restored.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use eelgrasspier_operator::{SubmitAnswer, Submitted};
+use eelgrasspier_operator::{SubmitRequest, SubmitResponse};
 use eelgrasspier_standin::cluster::{TestCluster, wait_until};
 
 const RUN_DEADLINE_MS: u64 = 8_000;
 
-fn edit(base: u64, edit_id: u64, text: &str) -> Submitted {
-    Submitted { edit_id, base, submitter: "test".to_owned(), text: text.to_owned() }
+fn edit(base: u64, edit_id: u64, text: &str) -> SubmitRequest {
+    SubmitRequest { edit_id, base, submitter: "test".to_owned(), text: text.to_owned() }
 }
 
 /// Returns the text of the cluster with a deadline that distinguishes it from other texts.
@@ -25,9 +25,9 @@
     true
 }
 
-async fn submit_accepted(cluster: &TestCluster, index: usize, edit: &Submitted) -> u64 {
+async fn submit_accepted(cluster: &TestCluster, index: usize, edit: &SubmitRequest) -> u64 {
     match cluster.admin(index).submit(edit).await.unwrap() {
-        SubmitAnswer::Accepted { version } => version,
+        SubmitResponse::Accepted { version } => version,
         other => panic!("{other:?}"),
     }
 }
@@ -152,6 +152,6 @@
     .unwrap();
     let answer =
         cluster.admin(1).submit(&edit(base, 22, &text_with(&cluster, 7_002))).await.unwrap();
-    assert!(matches!(answer, SubmitAnswer::Conflict { .. }), "{answer:?}");
+    assert!(matches!(answer, SubmitResponse::Conflict { .. }), "{answer:?}");
     assert!(all_have_text(&cluster, &lost).await);
 }
