--- a/crates/eelgrasspier/src/daemon.rs
+++ b/crates/eelgrasspier/src/daemon.rs
@@ -10,7 +10,7 @@
 use arc_swap::ArcSwap;
 use displaydoc::Display;
 use eelgrasspier_decide::prelude::InstanceId;
-use eelgrasspier_telemetry::{Latency, Page, TelemetryError};
+use eelgrasspier_telemetry::{LatencyHistogram, MetricsExporter, TelemetryError};
 use tokio::sync::{mpsc, oneshot};
 
 use crate::clock::epoch_ms;
@@ -27,13 +27,13 @@
 /// Maximum number of ports tried to find one that is free for both TCP and UDP.
 const MAX_PORT_ATTEMPTS: usize = 50;
 /// Latency histograms; docs/METRICS.md lists them with the other metrics.
-const LATENCIES: &[Latency] = &[
-    Latency {
+const LATENCIES: &[LatencyHistogram] = &[
+    LatencyHistogram {
         name: "eelgrasspier_query_seconds",
         help: "Time from a query's arrival to its answer or refusal.",
         labels: &[],
     },
-    Latency {
+    LatencyHistogram {
         name: "eelgrasspier_added_seconds",
         help: "Time beyond the slowest exchange, for full answers.",
         labels: &[],
@@ -60,11 +60,11 @@
 /// # Errors
 /// Fails if an address cannot be bound, metrics cannot be set up or the HTTP server fails.
 pub fn run(settings: Settings) -> Result<(), StartError> {
-    let metrics = Page::install(LATENCIES).map_err(StartError::Metrics)?;
+    let metrics = MetricsExporter::install(LATENCIES).map_err(StartError::Metrics)?;
     actix_rt::System::new().block_on(serve(settings, metrics))
 }
 
-async fn serve(settings: Settings, metrics: Page) -> Result<(), StartError> {
+async fn serve(settings: Settings, metrics: MetricsExporter) -> Result<(), StartError> {
     let http = TcpListener::bind(settings.http_addr).map_err(StartError::Bind)?;
     let peer = bind_peer(settings.peer_addr).map_err(StartError::Bind)?;
     let http_addr = http.local_addr().map_err(StartError::Bind)?;
@@ -139,7 +139,11 @@
     Err(last_error)
 }
 
-async fn serve_http(listener: TcpListener, shared: SharedRef, metrics: Page) -> io::Result<()> {
+async fn serve_http(
+    listener: TcpListener,
+    shared: SharedRef,
+    metrics: MetricsExporter,
+) -> io::Result<()> {
     let stop_limit_s = shared.settings.stop_limit_ms.div_ceil(1000);
     let workers = shared.settings.traffic_threads;
     let worker_shared = Arc::clone(&shared);
--- a/crates/eelgrasspier/src/web.rs
+++ b/crates/eelgrasspier/src/web.rs
@@ -11,7 +11,7 @@
 };
 use eelgrasspier_decide::prelude::{Refusal, RefusalReason};
 use eelgrasspier_operator::{SubmitRequest, SubmitResponse, tokens_match};
-use eelgrasspier_telemetry::Page;
+use eelgrasspier_telemetry::MetricsExporter;
 use serde::Deserialize;
 
 use crate::clock::epoch_ms;
@@ -185,8 +185,8 @@
     close_if_stopping(response, &traffic)
 }
 
-async fn metrics_text(page: Data<Page>) -> HttpResponse {
-    match page.render() {
+async fn metrics_text(exporter: Data<MetricsExporter>) -> HttpResponse {
+    match exporter.render() {
         Ok(text) => HttpResponse::Ok().content_type("text/plain; version=0.0.4").body(text),
         Err(error) => {
             log::error!("cannot render metrics: {error}");
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -13,7 +13,7 @@
 use eelgrasspier_caller::{Handler, ResponseFuture, ShutdownPhase, serve};
 use eelgrasspier_decide::route::CallerLimits;
 use eelgrasspier_store::{Collections, DecodeContent};
-use eelgrasspier_telemetry::{Latency, Page, TelemetryError};
+use eelgrasspier_telemetry::{LatencyHistogram, MetricsExporter, TelemetryError};
 use http::{Request, Response, StatusCode};
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -36,18 +36,18 @@
 /// Part of the grace period reserved for ending before the kill.
 const GRACE_MARGIN: Duration = Duration::from_millis(500);
 /// Latency histograms; docs/METRICS.md lists them with the other metrics.
-const LATENCY_METRICS: &[Latency] = &[
-    Latency {
+const LATENCY_METRICS: &[LatencyHistogram] = &[
+    LatencyHistogram {
         name: "eelgrasspier_request_seconds",
         help: "Time from a request's arrival to its answer.",
         labels: &["outcome"],
     },
-    Latency {
+    LatencyHistogram {
         name: "eelgrasspier_part_seconds",
         help: "Time of one exchange with a replica, however it ended.",
         labels: &[],
     },
-    Latency {
+    LatencyHistogram {
         name: "eelgrasspier_relay_seconds",
         help: "Time that another instance took.",
         labels: &[],
@@ -90,11 +90,15 @@
 /// # Errors
 /// Fails if an address can't be bound, or if metrics or signal handlers can't be set up.
 pub fn run(setup: &Setup, adapters: Adapters) -> Result<(), RunError> {
-    let metrics = Page::install(LATENCY_METRICS).map_err(RunError::Metrics)?;
+    let metrics = MetricsExporter::install(LATENCY_METRICS).map_err(RunError::Metrics)?;
     actix_rt::System::new().block_on(serve_all(setup, adapters, metrics))
 }
 
-async fn serve_all(setup: &Setup, adapters: Adapters, metrics: Page) -> Result<(), RunError> {
+async fn serve_all(
+    setup: &Setup,
+    adapters: Adapters,
+    metrics: MetricsExporter,
+) -> Result<(), RunError> {
     let front = bind(setup.front_addr).await?;
     let ready = bind(setup.ready_addr).await?;
     let Adapters { store, decode, backend, front: make_front, settings } = adapters;
@@ -228,7 +232,7 @@
 }
 
 /// Serves the metrics page.
-struct MetricsPage(Page);
+struct MetricsPage(MetricsExporter);
 
 impl Handler for MetricsPage {
     fn answer(&self, _request: Request<Incoming>) -> ResponseFuture {
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -23,12 +23,12 @@
     /// failed to register histogram {0}: {1}
     Histogram(&'static str, #[source] prometheus::Error),
     /// another metrics recorder is already installed: {0}
-    Taken(String),
+    RecorderInstalled(String),
 }
 
 /// Definition of a latency histogram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Latency {
+pub struct LatencyHistogram {
     /// Name of the metric, with its unit as suffix.
     pub name: &'static str,
     /// Help text, on one line.
@@ -37,7 +37,7 @@
     pub labels: &'static [&'static str],
 }
 
-impl Latency {
+impl LatencyHistogram {
     fn to_metric(self) -> Result<HistogramVec, TelemetryError> {
         let to_error = |error| TelemetryError::Histogram(self.name, error);
         let buckets = prometheus::exponential_buckets(FIRST_BUCKET_S, BUCKET_RATIO, BUCKET_COUNT);
@@ -46,24 +46,24 @@
     }
 }
 
-/// Metrics of this process, as a page of text.
+/// Exporter of this process's metrics as text.
 #[derive(Debug, Clone)]
-pub struct Page(Arc<Registry>);
+pub struct MetricsExporter(Arc<Registry>);
 
-impl Page {
-    /// Installs the recorder of all metrics of this process, with histograms for `latencies`.
+impl MetricsExporter {
+    /// Installs the recorder of all metrics of this process, with the given latency `histograms`.
     ///
     /// # Errors
     /// Fails if a name is taken or invalid, or if another recorder is already installed.
-    pub fn install(latencies: &[Latency]) -> Result<Self, TelemetryError> {
+    pub fn install(histograms: &[LatencyHistogram]) -> Result<Self, TelemetryError> {
         let registry = Registry::new();
         let recorder = Recorder::builder()
             .with_registry(&registry)
             .try_build_and_install()
-            .map_err(|e| TelemetryError::Taken(e.to_string()))?;
-        for latency in latencies {
-            let registered = recorder.try_register_metric(latency.to_metric()?);
-            registered.map_err(|e| TelemetryError::Histogram(latency.name, e))?;
+            .map_err(|e| TelemetryError::RecorderInstalled(e.to_string()))?;
+        for histogram in histograms {
+            let registered = recorder.try_register_metric(histogram.to_metric()?);
+            registered.map_err(|e| TelemetryError::Histogram(histogram.name, e))?;
         }
         Ok(Self(Arc::new(registry)))
     }
--- a/crates/telemetry/tests/page.rs
+++ b/crates/telemetry/tests/page.rs
@@ -1,18 +1,18 @@
 //! Tests of the rendered metrics page.
 
-use eelgrasspier_telemetry::{Latency, Page};
+use eelgrasspier_telemetry::{LatencyHistogram, MetricsExporter};
 
-const LATENCY: Latency =
-    Latency { name: "answer_seconds", help: "Time to an answer.", labels: &["outcome"] };
+const LATENCY: LatencyHistogram =
+    LatencyHistogram { name: "answer_seconds", help: "Time to an answer.", labels: &["outcome"] };
 
 #[test]
 fn counters_gauges_and_latencies_are_on_the_page() {
-    let page = Page::install(&[LATENCY]).unwrap();
+    let exporter = MetricsExporter::install(&[LATENCY]).unwrap();
     metrics::counter!("answers_total", "outcome" => "merged").increment(2);
     metrics::gauge!("version").set(7.0);
     metrics::histogram!("answer_seconds", "outcome" => "merged").record(0.02);
     metrics::histogram!("answer_seconds", "outcome" => "refused").record(5.0);
-    let text = page.render().unwrap();
+    let text = exporter.render().unwrap();
     for line in [
         "answers_total{outcome=\"merged\"} 2",
         "version 7",
@@ -26,5 +26,5 @@
     let counts: Vec<&str> =
         text.lines().filter(is_low_bucket).filter_map(|l| l.split(' ').nth(1)).collect();
     assert!(counts.contains(&"0") && counts.contains(&"1"), "{counts:?}");
-    assert!(Page::install(&[]).is_err(), "a second recorder was set up");
+    assert!(MetricsExporter::install(&[]).is_err(), "a second recorder was set up");
 }
