--- a/crates/router/src/control/instances.rs
+++ b/crates/router/src/control/instances.rs
@@ -24,14 +24,14 @@
 /// Process age from which it may write an entry, in milliseconds.
 ///
 /// By then it has learnt enough members by gossip to decide which few have an entry.
-const MIN_ANNOUNCE_AGE_MS: u64 = 5_000;
+const MIN_PUBLISH_AGE_MS: u64 = 5_000;
 /// The same age for an instance that has found no others, in milliseconds.
 ///
 /// A live seed has answered by then, even if all instances lost power and start together.
-const MIN_ANNOUNCE_AGE_ALONE_MS: u64 = 2_000;
+const MIN_PUBLISH_AGE_ALONE_MS: u64 = 2_000;
 
 /// Jitter with which entries are written again to a restored store, in milliseconds.
-const REANNOUNCE_JITTER_MS: u64 = 3_000;
+const REWRITE_JITTER_MS: u64 = 3_000;
 
 /// State of this instance's work on the entries.
 #[derive(Debug, Default)]
@@ -74,7 +74,7 @@
         let instances = self.instances();
         let is_current =
             entries.written_size.is_some_and(|n| !store_contacts::must_rewrite(n, instances));
-        if !is_current && self.may_announce() {
+        if !is_current && self.may_publish() {
             let published = self.store.publish_instance(&self.own_entry(instances)).await;
             published.inspect_err(|e| log::info!("event=not_announced cause=\"{e}\""))?;
             log::info!("event=announced instances={instances} before={:?}", entries.written_size);
@@ -87,7 +87,7 @@
     fn schedule_rewrite_after_restore(&self, entries: &mut EntryState) {
         let before = std::mem::replace(&mut entries.era, self.era());
         if before > 0 && before < entries.era {
-            let jitter_ms = rand::random_range(0..REANNOUNCE_JITTER_MS);
+            let jitter_ms = rand::random_range(0..REWRITE_JITTER_MS);
             entries.rewrite_at = Some(Instant::now() + Duration::from_millis(jitter_ms));
         }
         if entries.rewrite_at.take_if(|at| Instant::now() >= *at).is_some() {
@@ -110,9 +110,9 @@
         }
     }
 
-    fn may_announce(&self) -> bool {
+    fn may_publish(&self) -> bool {
         let min_age_ms =
-            if self.is_alone() { MIN_ANNOUNCE_AGE_ALONE_MS } else { MIN_ANNOUNCE_AGE_MS };
+            if self.is_alone() { MIN_PUBLISH_AGE_ALONE_MS } else { MIN_PUBLISH_AGE_MS };
         self.shared.now_ms() >= min_age_ms && self.is_contact()
     }
 
@@ -136,7 +136,7 @@
         });
         let read: Vec<InstanceEntry> = read.collect();
         let entry_count = u64::try_from(read.len()).unwrap_or(u64::MAX);
-        let fleet = read.iter().map(|a| a.instances).fold(entry_count, u64::max);
+        let fleet = read.iter().map(|e| e.instances).fold(entry_count, u64::max);
         let listed: Vec<ListedInstance> = read.into_iter().map(to_listed).collect();
         self.membership.borrow_mut().set_listed(&listed);
         if entries.listed_at.replace(Instant::now()).is_none() {
@@ -146,12 +146,12 @@
         if self.listed_fleet_size.replace(Some(fleet)) != Some(fleet) {
             self.publish();
         }
-        self.withdraw_gone(&listed, entries).await;
+        self.delete_stale_entries(&listed, entries).await;
         Ok(())
     }
 
-    /// Withdraws entries of instances that are gone; has a missing own entry written again.
-    async fn withdraw_gone(&self, listed: &[ListedInstance], entries: &mut EntryState) {
+    /// Deletes entries of instances that are gone; has a missing own entry written again.
+    async fn delete_stale_entries(&self, listed: &[ListedInstance], entries: &mut EntryState) {
         let names: Vec<&str> = listed.iter().map(|l| l.name.as_str()).collect();
         let own = self.identity.name.as_str();
         if entries.written_size.is_some()
@@ -165,7 +165,7 @@
             let is_there = |name: &str| name == own || alive.contains(&name);
             self.stale_entries.borrow_mut().stale(&names, is_there, self.shared.now_ms())
         };
-        // Only watchers withdraw, to limit the number of calls. Withdrawing twice does no harm.
+        // Only watchers delete entries, to limit the number of calls. Deleting one twice does no harm.
         for name in gone.iter().filter(|_| self.is_watcher()) {
             match self.store.delete_instance(name).await {
                 Ok(()) => log::info!("event=instance_withdrawn instance={name}"),
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -20,7 +20,7 @@
     pub(crate) router: Rc<Router>,
     pub(crate) control: mpsc::UnboundedSender<Ask>,
     /// The last compressed answer of each kind.
-    packed_answers: RefCell<HashMap<CollectionKind, CachedAnswer>>,
+    compressed_answers: RefCell<HashMap<CollectionKind, CachedAnswer>>,
 }
 
 /// A cached answer: others of the zone are about to request the same.
@@ -33,7 +33,7 @@
     requested_after: Position,
     /// Position up to which the answer is complete.
     as_of: Position,
-    /// Length of the answer before packing, in bytes.
+    /// Length of the answer before compression, in bytes.
     ///
     /// It detects a changed answer at the same position: after a restore the known changes may
     /// differ though the store has not changed.
@@ -43,7 +43,7 @@
 
 impl PeerRequestHandler {
     pub(crate) fn new(router: Rc<Router>, control: mpsc::UnboundedSender<Ask>) -> Self {
-        Self { router, control, packed_answers: RefCell::default() }
+        Self { router, control, compressed_answers: RefCell::default() }
     }
 
     async fn changes(&self, kind: CollectionKind, after: Position) -> Body {
@@ -53,7 +53,7 @@
             return Body::Refused("control has ended".to_owned());
         }
         match changes.await {
-            Ok(changes) => self.pack_cached(kind, after, changes),
+            Ok(changes) => self.compress_cached(kind, after, changes),
             Err(_) => Body::Refused("control has ended".to_owned()),
         }
     }
@@ -70,14 +70,14 @@
         }
     }
 
-    fn pack_cached(
+    fn compress_cached(
         &self,
         kind: CollectionKind,
         requested_after: Position,
         changes: Changes,
     ) -> Body {
         let (as_of, length_bytes) = (changes.position(), changes.encoded_len());
-        let mut cache = self.packed_answers.borrow_mut();
+        let mut cache = self.compressed_answers.borrow_mut();
         let is_same = |p: &&CachedAnswer| {
             (p.requested_after, p.as_of, p.length_bytes) == (requested_after, as_of, length_bytes)
         };
