--- a/crates/decide/src/admission/gate.rs
+++ b/crates/decide/src/admission/gate.rs
@@ -262,7 +262,7 @@
         (self.limit() * own / total.max(1)).max(1)
     }
 
-    /// Raises the limit after a timely answer, or else reduces it, at most once per service time.
+    /// Raises the limit; on overload reduces it instead, at most once per service time.
     fn adapt_limit(&mut self, ended: Completion, now_ms: u64) {
         if ended.signal == LoadSignal::Neutral {
             return;
@@ -271,7 +271,7 @@
         if self.is_overloaded(ended) {
             self.reduce_limit(now_ms);
         } else {
-            // Grows by a whole request for each answer in time. Below capacity, a few late answers
+            // Grows by a whole request with each completion. Below capacity, a few late answers
             // must not keep callers out for long; above it, the next reduction follows soon enough.
             self.limit_units = (self.limit_units + LIMIT_UNITS_PER_REQUEST)
                 .min(self.max_running * LIMIT_UNITS_PER_REQUEST);
--- a/crates/decide/src/admission/plan.rs
+++ b/crates/decide/src/admission/plan.rs
@@ -1,7 +1,7 @@
 //! Selects the shards that one request is sent to, or refuses the request.
 //!
 //! A request to many shards is answered in time if nearly all of them answer in time. If some
-//! shards are overloaded, a request sent to all of them waits for the slowest, and the work of the
+//! shards are overloaded, a request sent to all of them waits for the fullest, and the work of the
 //! others is wasted. So each request leaves out the shards that would be late, as far as its
 //! coverage permits; if more shards would be late, it is refused before anything runs.
 
--- a/crates/decide/src/apply_result.rs
+++ b/crates/decide/src/apply_result.rs
@@ -26,7 +26,9 @@
         /// Position of the known version.
         known: Position,
     },
-    /// The restored store lacks the object; it is retained for a while, until it is written again.
+    /// The restored store lacks the object; it is retained until it is written again.
+    ///
+    /// The retention may also be limited in time; see [`crate::mirror::Retention`].
     Retained(String),
     /// The restored store has the object after its deletion; it is withheld for a while.
     Withheld(String),
--- a/crates/decide/src/claim.rs
+++ b/crates/decide/src/claim.rs
@@ -4,7 +4,7 @@
 //! conditional update of the bucket decides. Ownership of buckets makes batches large and conflicts
 //! rare, but no lease and no clock is relied upon. Otherwise a holder that was paused beyond its
 //! lease would resume and run a request that another instance has run in the meantime; the caller
-//! would notice a second reminder.
+//! would notice that its effect, such as a reminder, occurs twice.
 //!
 //! A key contains the time of its issue (`UUIDv7`). The bucket has a floor: claims of keys issued
 //! before it are always refused, so old entries can be dropped without relying on any clock for
@@ -25,7 +25,9 @@
     }
 }
 
-/// Random number of one attempt, which shows whether an update with a lost answer was its own.
+/// Random number of one attempt.
+///
+/// After a lost answer it shows whether this attempt's update took effect or another one's.
 pub type Nonce = u64;
 
 /// Content of one bucket object.
--- a/crates/decide/src/cold_limit.rs
+++ b/crates/decide/src/cold_limit.rs
@@ -3,9 +3,9 @@
 //! A cold replica is slow and crashes if it gets too many requests per second. The limit applies to
 //! the whole fleet in every sliding second, even while instances cannot reach each other. Neither
 //! equal shares (most instances send nothing) nor a gossiped count would achieve this. So each cold
-//! replica has one coordinator, which counts the requests to it; other instances ask the coordinator for
-//! permission. While two instances both consider themselves the coordinator, each uses at most half of
-//! the limit.
+//! replica has one coordinator, which counts the requests to it; other instances ask the
+//! coordinator for permission. While two instances both consider themselves the coordinator, each
+//! uses at most half of the limit.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
@@ -19,7 +19,8 @@
 const SETTLE_DELAY_MS: u64 = 1_000;
 /// Time without messages after which an instance may be partitioned, in milliseconds.
 ///
-/// This is three probe rounds. Other instances then replace it, and it must not continue as coordinator.
+/// This is three probe rounds. Other instances then replace it, and it must not continue as
+/// coordinator.
 const PARTITION_TIMEOUT_MS: u64 = 1_500;
 /// Maximum number of instances that consider themselves the coordinator of one replica at a time.
 const MAX_COORDINATORS: u64 = 2;
@@ -120,8 +121,9 @@
     }
 }
 
-/// Returns true if an instance that last received a message at `last_received_ms` may be a coordinator.
+/// Returns true if an instance is connected well enough to be a coordinator.
 ///
+/// `last_received_ms` is the time of the last message from another instance, if there was any.
 /// `fleet` is the number of all instances, including those that it does not know: an instance that
 /// starts while partitioned knows no others, but is not alone.
 #[must_use]
--- a/crates/decide/src/connections.rs
+++ b/crates/decide/src/connections.rs
@@ -18,7 +18,7 @@
 /// including what rounding down leaves, is for instances that start while the connections of others
 /// that have just died still count.
 const OTHER_ZONE_PERCENT: u32 = 56;
-/// Divisor of the number of unknown instances that gives those assumed to be in one zone.
+/// Divisor of the unknown instances: one in this many is assumed to be in any one zone.
 const UNKNOWN_IN_ZONE_DIVISOR: u32 = 4;
 
 /// Membership as seen from one instance, for the replicas of one zone.
--- a/crates/decide/src/directory.rs
+++ b/crates/decide/src/directory.rs
@@ -26,8 +26,9 @@
     pub name: Arc<str>,
     /// Version number of the report in this entry.
     ///
-    /// The store may apply a write several seconds after its writer gave it up for lost. The last
-    /// write of a crashed replica may then overwrite the first one of its successor.
+    /// Older reports are ignored. The store may apply a write several seconds after its writer gave
+    /// it up for lost, so the last write of a crashed replica may overwrite the first one of its
+    /// successor.
     pub report: Edition,
     /// Service that it serves.
     pub service: Arc<str>,
--- a/crates/decide/src/evacuations.rs
+++ b/crates/decide/src/evacuations.rs
@@ -17,7 +17,7 @@
     Returned(Arc<str>),
 }
 
-/// Evacuated zones, and returned zones.
+/// Evacuated zones, and zones that were returned to use.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Evacuations {
     evacuated_zones: BTreeSet<Arc<str>>,
--- a/crates/decide/src/excess_delay.rs
+++ b/crates/decide/src/excess_delay.rs
@@ -1,10 +1,10 @@
 //! Estimate of the delay of a request on its way, without synchronized clocks.
 //!
-//! A request states the remaining time as of when it was sent. An instance that was frozen for 1.5
-//! s reads it from the connection after it resumes, and would pass all of that time on to replicas;
-//! these then work for callers whose deadline has passed. Only the rates of the two clocks can be
-//! compared. The shortest delay seen on a connection therefore counts as the normal one, and
-//! anything beyond it as excess delay.
+//! A request states the remaining time as of when it was sent. An instance that was frozen for a
+//! second and a half reads it from the connection after it resumes, and would pass all of that time
+//! on to replicas; these worked for callers that had been answered long before. Only the rates of
+//! the two clocks can be compared. The shortest delay seen on a connection therefore counts as the
+//! normal one, and anything beyond it as excess delay.
 
 /// Time in milliseconds in which the clocks may drift apart by one millisecond.
 ///
--- a/crates/decide/src/gatherers.rs
+++ b/crates/decide/src/gatherers.rs
@@ -15,7 +15,7 @@
 /// Ratio of the zone's CPU capacity to that of its gatherers.
 ///
 /// At a fifth, their connections stay in use: about 300 parts per second at each of 19 instances
-/// with a quarter of a core, and a part takes less than 0.1 ms of it.
+/// with a quarter of a core, and a part takes less than 0.1 ms of CPU time.
 const CAPACITY_RATIO: u64 = 5;
 
 /// Instance of the zone.
--- a/crates/decide/src/gossip.rs
+++ b/crates/decide/src/gossip.rs
@@ -73,7 +73,7 @@
     /// True if the store answers its requests.
     #[prost(bool, tag = "13")]
     pub is_store_reached: bool,
-    /// Its processor capacity in thousandths of a core.
+    /// Its CPU capacity in thousandths of a core.
     #[prost(uint32, tag = "14")]
     pub capacity_milli: u32,
     /// Revision up to which it has applied changes of the evacuated zones.
@@ -109,7 +109,7 @@
     /// Hash of its address.
     #[prost(fixed64, tag = "1")]
     pub address_hash: u64,
-    /// Start time of its process in milliseconds since the Unix epoch.
+    /// Start time as reported by the server; 0 if it reports none.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
 }
--- a/crates/decide/src/hedge.rs
+++ b/crates/decide/src/hedge.rs
@@ -4,15 +4,15 @@
 const BUCKETS_PER_OCTAVE: u32 = 8;
 /// Number of buckets, which cover 1 microsecond to about 2 minutes.
 const BUCKET_COUNT: usize = 27 * BUCKETS_PER_OCTAVE as usize;
-/// Number of parts after which all counts are halved.
+/// Number of counted parts at which all counts are halved.
 const HALVE_AFTER_PARTS: u32 = 4096;
 /// Minimum number of measured parts for a valid quantile.
 const MIN_PARTS: u32 = 64;
 
 /// Quantile of recent part latencies in constant memory.
 ///
-/// A histogram with geometric buckets, each 9 % wide. Counts are halved regularly so that the
-/// quantile follows the load.
+/// A histogram with eight equal buckets per doubling, each 7 to 13 % wide. Counts are halved
+/// regularly so that the quantile follows the load.
 #[derive(Debug, Clone)]
 pub struct LatencyQuantile {
     counts: Vec<u32>,
--- a/crates/decide/src/history.rs
+++ b/crates/decide/src/history.rs
@@ -107,7 +107,7 @@
     Regressed,
 }
 
-/// The store's current era, learnt from its answers and from other instances.
+/// The store's current era, learned from its answers and from other instances.
 #[derive(Debug, Clone, Default)]
 pub struct EraTracker {
     current: u64,
--- a/crates/decide/src/membership/dissemination.rs
+++ b/crates/decide/src/membership/dissemination.rs
@@ -118,8 +118,8 @@
     ///
     /// In a small zone the probability follows the share of instances in other zones. In a large
     /// zone it is low: updates spread just as fast within the zone, and each of its instances
-    /// carries some across. In an idle fleet of 195 instances such gossip made up 42 of 72 MB of
-    /// cross-zone traffic in 48 seconds.
+    /// carries some across. Without this rule, such gossip made up 42 of 72 MB of cross-zone
+    /// traffic of 195 instances in 48 seconds without disturbances.
     pub(super) fn picks_other_zone(&self, random: u64) -> bool {
         let alive = || self.peers.values().filter(|k| !k.is_dead_or_left());
         let other_zone = alive().filter(|k| self.is_in_other_zone(&k.member)).count() as u64;
--- a/crates/decide/src/mirror.rs
+++ b/crates/decide/src/mirror.rs
@@ -226,7 +226,7 @@
         VersionStamp { position: if is_missing { position } else { position.max(start) }, edition }
     }
 
-    /// Withholds an object if the store has it.
+    /// Withholds an object until the withholding time is over, if the store has it.
     fn withhold(&mut self, object: Versioned) {
         if !object.is_missing {
             self.withheld.insert(object.name.clone(), object);
--- a/crates/decide/src/pulls.rs
+++ b/crates/decide/src/pulls.rs
@@ -9,7 +9,7 @@
 
 /// Time in milliseconds after which another instance is asked as well.
 ///
-/// It is some hundred round trips within a region.
+/// It is about a hundred round trips within a region.
 pub const HEDGE_AFTER_MS: u64 = 400;
 /// Timeout of a pull in milliseconds, sufficient for 10 MB over a link of 30 Mbit/s.
 pub const PULL_TIMEOUT_MS: u64 = 2_500;
--- a/crates/decide/src/quarantine.rs
+++ b/crates/decide/src/quarantine.rs
@@ -3,10 +3,10 @@
 //! A request that crashes a replica looks like one that was in progress when its replica crashed
 //! for another reason. Confusing them is harmful either way: the first takes down a whole index
 //! when its caller retries, the second is refused without cause. Three rules distinguish them. An
-//! answer of any kind clears the request. A request without an answer whose replicas
-//! crashed twice is tried on one replica at a time, which costs an innocent request one extra
-//! exchange. It is refused for some minutes only if, twice, a replica crashes in such a trial with
-//! no other unanswered request on it.
+//! answer of any kind clears the request. A request without an answer whose replicas crashed twice
+//! is tried on one replica at a time, which costs an innocent request one extra exchange. It is
+//! refused for some minutes only if, twice, a replica crashes in such a trial with no other
+//! unanswered request on it.
 //!
 //! Instances exchange [`Report`]s, which are merged: all instances reach the same state, in
 //! whatever order and however often the reports arrive.
@@ -166,7 +166,9 @@
             self.expires_at_ms.max(now_ms.max(self.refused_until_ms) + retention_ms);
     }
 
-    /// Starts a refusal if the evidence suffices; `has_new_trial_crash` if a trial has just added to it.
+    /// Starts a refusal if the evidence suffices and none is in progress.
+    ///
+    /// `has_new_trial_crash` is true if an isolated trial has just added evidence.
     fn refuse_if_proven(&mut self, has_new_trial_crash: bool, now_ms: u64) {
         let is_proven = self.is_suspect()
             && self.ended_alone.len() >= MIN_CRASHES_IN_ISOLATION
@@ -380,7 +382,8 @@
     // Expires together with the reporter's record, unless there is more evidence here.
     record.expires_at_ms = record.expires_at_ms.max(now_ms + report.left_ms.min(MAX_RETENTION_MS));
     if has_changed {
-        // If the request was refused before, the reporter has already decided on the next refusal.
+        // If the request was refused before, only the reporter knows whether that refusal was over
+        // when the trial crashed its replica; its report contains any new refusal.
         record.refuse_if_proven(has_new_isolated_crash && record.refusals == 0, now_ms);
         if now_ms < record.refused_until_ms {
             record.extend_retention(now_ms);
--- a/crates/decide/src/relays.rs
+++ b/crates/decide/src/relays.rs
@@ -10,7 +10,8 @@
 
 /// Minimum number of shards in a group; smaller groups are requested directly.
 ///
-/// The merged answer of one shard is about as long as its part, and the relay adds latency.
+/// The merged answer of one shard is about as long as its part, and the relay adds latency. Where
+/// direct requests are not as good, since others gather for this instance, the minimum is one.
 pub const MIN_GROUP_SHARDS: usize = 2;
 
 /// Shards to be requested through one zone.
@@ -72,10 +73,10 @@
 
 /// Groups shards by zone; `zones` lists the zones that could serve each shard.
 ///
-/// Shards in no group are requested directly; groups have at least `min_shards` shards. The zone
-/// `first` always comes first: its answers cross no zones, and each zone serves its own callers.
-/// Otherwise all instances would ask the zone with the most replicas. `turn` rotates between
-/// equally good zones.
+/// Shards in no group are requested directly. The zone `first` always comes first and may have a
+/// group of any size: its answers cross no zones, and each zone serves its own callers. Otherwise
+/// all instances would ask the zone with the most replicas. All other groups have at least
+/// `min_shards` shards. `turn` rotates between equally good zones.
 #[must_use]
 pub fn group_by_zone<'a>(
     mut zones: BTreeMap<usize, Vec<&'a str>>,
--- a/crates/decide/src/replica_stats.rs
+++ b/crates/decide/src/replica_stats.rs
@@ -198,7 +198,8 @@
 
     /// Applies a report from another instance.
     ///
-    /// An instance that delegates a shard to another instance sends nothing to its replicas itself.
+    /// An instance that delegates a shard to another instance sends nothing to its replicas itself,
+    /// and so knows their state only from reports.
     pub fn apply_report(&mut self, report: ReplicaReport, now_ms: u64) {
         self.record_reported_load(report.load, now_ms);
         if report.ratio > self.ratio(now_ms) {
--- a/crates/decide/src/route.rs
+++ b/crates/decide/src/route.rs
@@ -156,7 +156,7 @@
 /// Smooth weighted round robin over the services of a split.
 ///
 /// The credit of each service grows by its weight; the service with the highest credit is selected
-/// and pays the sum of the weights. After any number of requests, each service is within one
+/// and pays the sum of the weights. After any number of requests, each service is within about one
 /// request of its share. Random selection would need thousands of requests to come as close.
 #[derive(Debug, Clone, Default)]
 pub struct WeightedRoundRobin {
--- a/crates/decide/src/snapshot.rs
+++ b/crates/decide/src/snapshot.rs
@@ -71,9 +71,9 @@
     /// Returns the newest complete snapshot that all dependencies hold, or else the most complete
     /// one.
     ///
-    /// An incomplete snapshot is selected only if there is no complete one that the dependencies
-    /// hold. The answer then names the missing shards. Among equally complete snapshots, the newest
-    /// is used.
+    /// A complete snapshot that the dependencies lack is preferred to an incomplete one. The answer
+    /// from an incomplete snapshot names the missing shards. Among equally complete snapshots, the
+    /// newest is used.
     #[must_use]
     pub fn select(&self, dependencies: &[&Self]) -> Option<Snapshot> {
         let holds = |s: &Snapshot| dependencies.iter().all(|d| d.is_complete_at(s.version));
--- a/crates/decide/src/store_contacts.rs
+++ b/crates/decide/src/store_contacts.rs
@@ -12,9 +12,9 @@
 const CONTACTS_PER_ZONE: usize = 3;
 /// Key under which instances are ranked.
 const RANKING_KEY: &str = "store-contacts";
-/// Divisor of the fleet size in the entry; the entry is rewritten if the size differs by more.
+/// Part of the fleet size in an entry, as a divisor, by which it may be wrong before a rewrite.
 ///
-/// The size only limits what an instance may use that has just started.
+/// The size in the entry only limits what an instance that has just started may use.
 const RESIZE_DIVISOR: u64 = 4;
 
 /// Returns true if the instance `own` has an entry, given all `others`.
--- a/crates/decide/src/wait_policy.rs
+++ b/crates/decide/src/wait_policy.rs
@@ -5,7 +5,9 @@
 //! is sent as soon as it covers enough shards. If it does not, it is late in any case and waits
 //! until it does or until the caller's time limit.
 
-/// Part of the target latency reserved for the round trip and timer delays, in milliseconds.
+/// Part of the target latency reserved for the round trip and for timers, in milliseconds.
+///
+/// The round trip is that between caller and instance; timers fire slightly late.
 const ROUND_TRIP_MS: u64 = 4;
 /// CPU time between the end of waiting and the delivery of the answer, in microseconds of one core.
 ///
@@ -32,7 +34,7 @@
     (ROUND_TRIP_MS + reserve_ms + work_ms).min(target_latency_ms / MAX_MARGIN_DIVISOR)
 }
 
-/// Divisor of the target latency that gives the minimum time left for a retry to be in time.
+/// Divisor of the target latency that gives the least time left for a retry to be still in time.
 const MIN_REMAINING_DIVISOR: u64 = 2;
 
 /// Returns the time in which to answer a caller that spent `spent_ms` on earlier attempts.
--- a/crates/decide/tests/cold_limit.rs
+++ b/crates/decide/tests/cold_limit.rs
@@ -56,9 +56,9 @@
     zones.iter().map(|(zone, keys)| ((*zone).into(), keys.to_vec())).collect()
 }
 
-/// Guards against coordinators that do not wait until the requests of others have left the window. A
-/// coordinator was killed and restarted while another had replaced it, and the replica got the share of
-/// three instances within a second.
+/// Guards against coordinators that do not wait until the requests of others have left the window.
+/// A coordinator was killed and restarted while another had replaced it, and the replica got the
+/// share of three instances within a second.
 #[test]
 fn coordinators_wait_after_each_membership_change() {
     let mut stability = CoordinatorStability::default();
@@ -76,7 +76,7 @@
     assert!(stability.is_stable(None, 6_000));
 }
 
-/// Guards against a partitioned instance that continues as coordinator while another has replaced it.
+/// Guards against a partitioned instance that continues as coordinator after its replacement.
 #[test]
 fn a_partitioned_instance_permits_nothing() {
     assert!(is_connected(78, Some(10_000), 11_499));
--- a/crates/decide/tests/evacuations.rs
+++ b/crates/decide/tests/evacuations.rs
@@ -23,7 +23,7 @@
 
 /// Guards against treating the replicas of a zone as warm just after it is taken back. They had
 /// become cold during the evacuation, their entries showed it only with the next report, and they
-/// crashed under the usual request rate.
+/// crashed under the usual requests of one second.
 #[test]
 fn a_zone_that_was_taken_back_is_cold_for_the_warm_up_time() {
     let mut zones = Evacuations::default();
--- a/crates/decide/tests/mirror_and_directory.rs
+++ b/crates/decide/tests/mirror_and_directory.rs
@@ -38,8 +38,8 @@
         .collect()
 }
 
-/// Guards against the return of a replaced version. A poll was answered from a stale read, seconds
-/// after the watch had delivered a newer version, and its answer was regarded as the latest.
+/// Guards against the return of a replaced version. A poll got an answer that was seconds old after
+/// the watch had delivered a newer version, and the last answer was regarded as the latest.
 #[test]
 fn a_stale_list_changes_nothing() {
     let mut mirror = empty_mirror();
@@ -176,7 +176,8 @@
 /// Guards against requests to a replica three seconds after it left. The replica started and left
 /// within a quarter of a second. One instance read the store in between; the watchers saw both
 /// changes at once. They must keep the tombstone of an object they never had: otherwise the one
-/// instance does not learn of the deletion until its next poll.
+/// instance does not learn of the deletion until its next poll. Its log showed the new entry, but
+/// not its end before that poll.
 #[test]
 fn an_object_created_and_deleted_between_two_reads_gets_a_tombstone() {
     let (mut watching, mut polling) = (empty_mirror(), empty_mirror());
--- a/crates/decide/tests/model_claims.rs
+++ b/crates/decide/tests/model_claims.rs
@@ -54,7 +54,7 @@
     bucket: Bucket,
     updates: Vec<Update>,
     actors: [Actor; 2],
-    /// True while the owner and the clean-up have steps left.
+    /// True until the owner has claimed; this and the next two steps each happen at most once.
     can_owner_claim: bool,
     can_owner_release: bool,
     can_clean_up: bool,
--- a/crates/decide/tests/model_share.rs
+++ b/crates/decide/tests/model_share.rs
@@ -185,7 +185,8 @@
     }
 }
 
-/// Guards against shares that stay reduced after all announcements have arrived.
+/// Guards against waiting forever for agreement. Once all announcements have arrived, every
+/// instance has a share again.
 #[test]
 fn shares_grow_once_all_members_agree() {
     let mut system = System::initial(4);
--- a/crates/decide/tests/plan.rs
+++ b/crates/decide/tests/plan.rs
@@ -37,9 +37,9 @@
     assert_eq!(plan(&answer_ms, 2, LEFT_MS, 0.5), refused(110));
 }
 
-/// Guards against treating a late retry as urgent. Callers that retried after the target latency of
-/// their first attempt got an answer as soon as it covered the minimum, without many of the shards,
-/// since it was late anyway.
+/// Guards against treating a late retry as urgent. Refused callers that retried after the target
+/// latency of their first attempt got an answer as soon as it covered the minimum, without many of
+/// the shards, since it was late anyway.
 #[test]
 fn a_late_retry_gets_the_full_target_latency() {
     assert_eq!(wait_policy::effective_target_ms(200, 0), 200);
--- a/crates/decide/tests/pulls.rs
+++ b/crates/decide/tests/pulls.rs
@@ -53,7 +53,7 @@
     assert_eq!(scaled_backoff_ms(MAX_BACKOFF_MS, 7), 600);
     assert_eq!(scaled_backoff_ms(MAX_BACKOFF_MS, 77), 1_800);
     assert_eq!(scaled_backoff_ms(MAX_BACKOFF_MS, 2_600), 2_400);
-    // A call that failed by chance is retried at once in a fleet of any size.
+    // A call that failed by chance is retried after the initial backoff in a fleet of any size.
     assert_eq!(scaled_backoff_ms(MIN_BACKOFF_MS, 2_600), MIN_BACKOFF_MS);
     // A large fleet as a whole still retries more often than a small one.
     assert!(
--- a/crates/decide/tests/replica_stats.rs
+++ b/crates/decide/tests/replica_stats.rs
@@ -36,7 +36,7 @@
     paused.record_answer(80.0, 5.0, 1_001);
     paused.record_answer(60.0, 5.0, 1_002);
     assert!(paused.cost(SLOTS, 1_003) < 1.1);
-    // The next request was sent after the pause, so its slow answer shows that the replica is slow.
+    // The next request was sent after the pause, so its late answer shows that the replica is slow.
     paused.record_answer(60.0, 5.0, 1_063);
     assert!(paused.cost(SLOTS, 1_064) > 2.0);
 }
--- a/crates/decide/tests/report_exchange.rs
+++ b/crates/decide/tests/report_exchange.rs
@@ -132,9 +132,9 @@
     assert_eq!(net.refusing_count(CRASHING), 300);
 }
 
-/// Guards against an instance that runs a request which all others refuse. It was partitioned while
-/// the report spread, and gossip had stopped repeating the report when it rejoined. The digests on
-/// probes make the others send it.
+/// Guards against an instance that runs a request which all others refuse. It was partitioned for a
+/// minute while the report spread, and gossip had stopped repeating the report when it rejoined.
+/// The digests on probes make the others send it.
 #[test]
 fn partitioned_instance_receives_reports_after_rejoining() {
     let mut net = Network::new(6);
@@ -163,8 +163,8 @@
 }
 
 /// Guards against reports that never expire. Instances forget a report at different times, since
-/// each received it at a different time; restarting the retention with each copy would keep it for
-/// ever.
+/// each received it at a different time; restarting the retention with each copy would keep it
+/// forever.
 #[test]
 fn reports_expire_on_all_instances() {
     let mut net = Network::new(6);
--- a/crates/decide/tests/restored_mirrors.rs
+++ b/crates/decide/tests/restored_mirrors.rs
@@ -211,8 +211,8 @@
     arbtest::arbtest(mirrors_converge);
 }
 
-/// Guards against mirrors that differ until their next poll. A watcher announced no news for an
-/// applied change, or passed it on incorrectly.
+/// Guards against mirrors that differ until their next poll. A watcher did not announce a change
+/// that it had applied, or passed it on incorrectly.
 #[test]
 fn notified_mirrors_converge_to_the_store() {
     let seeds = [
--- a/crates/decide/tests/retry_budget.rs
+++ b/crates/decide/tests/retry_budget.rs
@@ -43,7 +43,7 @@
 
 /// Guards against each instance using the whole slack after a restart of all. Until gossip had
 /// connected them, each counted itself as the only one, which gave 248 retries in ten seconds where
-/// 242 were allowed. The sum must fit with the number of instances that is assumed meanwhile.
+/// 242 were allowed. The number of instances assumed until then must keep the sum within the limit.
 #[test]
 fn instances_that_do_not_know_each_other_yet_stay_within_the_slack() {
     const ASSUMED_INSTANCES: u64 = 16;
--- a/crates/decide/tests/roles.rs
+++ b/crates/decide/tests/roles.rs
@@ -32,7 +32,7 @@
 }
 
 /// Guards against an outage that makes the whole fleet call the store. Without a limit on
-/// substitutes, each one was refused as well, announced that, and kept retrying beside the next
+/// substitutes, each one was refused as well, announced that, and kept retrying along with the next
 /// one. 195 instances made 2,500 calls in four seconds.
 #[test]
 fn number_of_substitutes_is_limited_in_an_outage() {
--- a/crates/decide/tests/store_restores.rs
+++ b/crates/decide/tests/store_restores.rs
@@ -172,7 +172,7 @@
     assert_eq!((written.effects.len(), written.needs_notification()), (0, true));
     let lapsed = mirror.apply(&deletion((8, 72), "left"), 0);
     assert_eq!((lapsed.effects.len(), lapsed.needs_notification()), (0, true));
-    // Writing the object once more in the same era is not news.
+    // Writing the object once more in the same era needs no notification.
     let written = mirror.apply(&events((8, 73), vec![object("lives", 73, 1)]), 0);
     assert!(!written.needs_notification());
 }
@@ -203,7 +203,8 @@
     assert_eq!(mirror.expire(WITHHOLD_MS).effects, [set("a", 3)]);
 }
 
-/// Guards against a second restore before all objects were written again.
+/// Guards against a retention that is not restarted by a second restore. The second one comes
+/// before all objects were written again.
 #[test]
 fn a_second_restore_restarts_the_retention() {
     let mut mirror = replica_mirror();
