--- a/crates/backend/tests/pool.rs
+++ b/crates/backend/tests/pool.rs
@@ -97,8 +97,10 @@
 
 /// Idle connections must not exhaust the connections that a replica accepts.
 ///
-/// A replica accepts 120 connections. 195 instances asked it occasionally, each kept its idle
-/// connection open, and after a power loss two replicas reset a thousand connections.
+/// A replica accepts 120 connections from all instances together. 195 instances occasionally asked
+/// a service with two replicas and kept their connections open; after a power loss the service
+/// reset a thousand connections. Each instance may hold one connection whatever the others do, and
+/// idle connections count too.
 #[actix_rt::test]
 async fn a_connection_without_keep_alive_is_closed_after_the_answer() {
     let (addr, connections) = server(&[COMPLETE_ANSWER, COMPLETE_ANSWER, COMPLETE_ANSWER]).await;
@@ -111,8 +113,10 @@
     assert_eq!(*connections.borrow(), 3);
 }
 
-/// An answer that breaks off in a chunked body must not pass as complete. The pooled client takes
-/// the end of the connection for the end of the body in such cases.
+/// An answer that breaks off in the middle of its body must not reach a caller as complete.
+///
+/// The pooled client takes the end of the connection for the end of the body if neither an
+/// unfinished chunk nor a stated length shows that bytes are missing.
 #[actix_rt::test]
 async fn a_truncated_answer_is_lost() {
     let answers: &[&str] = &[
@@ -156,9 +160,11 @@
     assert_eq!(failure.verdict(), Verdict::NotRun, "{failure}");
 }
 
-/// A timeout while the connection is still being opened must be reported as "not run". It was once
-/// reported as an unresponsive server, and callers could not retry requests that had never been
-/// sent.
+/// A timeout while the connection is still being opened must be reported as "not run".
+///
+/// When a server was cut off from the network, such timeouts were treated like a server that does
+/// not answer. Callers were told "may have run" and could not retry requests that had reached no
+/// server.
 #[actix_rt::test]
 async fn a_connect_timeout_means_the_request_did_not_run() {
     let socket = TcpSocket::new_v4().unwrap();
--- a/crates/caller/src/serve.rs
+++ b/crates/caller/src/serve.rs
@@ -1,9 +1,10 @@
 //! Server for callers' connections, which drains them without aborting requests.
 //!
-//! The web framework of the instance's own interface lets a handler finish after its caller has
-//! disconnected, and closes idle connections as soon as a shutdown begins. This server drops the
-//! future of a request when its caller disconnects, and shuts down in two steps: answers first ask
-//! the caller to close the connection, and idle connections are closed only later.
+//! `actix-web`, which serves the HTTP interface of the `eelgrasspier` daemon, lets a handler finish
+//! after its caller has disconnected, and closes idle connections as soon as a shutdown begins.
+//! This server drops the future of a request when its caller disconnects, and shuts down in two
+//! steps: answers first ask the caller to close the connection, and idle connections are closed
+//! only later.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
--- a/crates/eelgrasspier/src/control/claims.rs
+++ b/crates/eelgrasspier/src/control/claims.rs
@@ -11,7 +11,7 @@
 
 use super::Control;
 
-/// Name that enters the hash of bucket owners.
+/// Name that is hashed with a bucket's number to select its owner.
 const OWNER_HASH_NAME: &str = "claims";
 /// Number of bits in the lower half of a key.
 const HALF_BITS: u32 = 64;
--- a/crates/eelgrasspier/src/control/members.rs
+++ b/crates/eelgrasspier/src/control/members.rs
@@ -161,8 +161,7 @@
         has_changed_shares
     }
 
-    /// Returns true if this instance certainly knows an instance that holds connections, if any
-    /// does.
+    /// Returns true if an instance holding connections, if there is one, is certainly known here.
     ///
     /// When many instances start at once, the instance list lags and is empty at first. Each
     /// instance would then agree with itself alone and claim all connections, exceeding the limit
--- a/crates/eelgrasspier/src/control/mod.rs
+++ b/crates/eelgrasspier/src/control/mod.rs
@@ -55,7 +55,7 @@
     last_era: Cell<u64>,
     /// Wakes the text watcher after the platform was restored.
     restored: Notify,
-    /// True once the text of another ready instance was fetched.
+    /// True once another instance has answered a request for its text.
     is_confirmed: Cell<bool>,
     /// Membership epoch that was last processed.
     processed_epoch: Cell<u64>,
--- a/crates/eelgrasspier/src/crash_tracker.rs
+++ b/crates/eelgrasspier/src/crash_tracker.rs
@@ -20,7 +20,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Maximum wait for crash checks; a refused connection takes one round trip.
 const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(60);
-/// Maximum time for which the same request waits for a trial in progress, in milliseconds.
+/// Maximum time in milliseconds for which a trial delays other requests with its fingerprint.
 const MAX_TRIAL_MS: u64 = 100;
 
 /// Crash tracking of one request while it is being processed.
@@ -38,8 +38,8 @@
 impl CrashTracker {
     /// Creates the tracker of a request of `kind` (query or run) to `service`.
     ///
-    /// Service, kind and body form the fingerprint: apart from the shard, they are all that a
-    /// server receives.
+    /// Service, kind and body form the fingerprint. A server receives nothing else of the request
+    /// but the shard, and headers that differ between sends, such as the request id.
     pub(crate) fn new(
         shared: &SharedRef,
         (service, kind): (&str, &str),
--- a/crates/eelgrasspier/src/event.rs
+++ b/crates/eelgrasspier/src/event.rs
@@ -9,7 +9,7 @@
     pub number: u16,
     /// Log level.
     pub level: Level,
-    /// Title in the log and the time line.
+    /// Title in the log and the timeline.
     pub title: &'static str,
 }
 
@@ -63,7 +63,7 @@
 pub const SNAPSHOT: Event = event(404, Level::Info, "snapshot chosen");
 /// Servers crashed while executing a request: it is sent to one server at a time.
 pub const REQUEST_SUSPECTED: Event = event(405, Level::Warn, "request suspected of ending servers");
-/// A request crashed each server in isolated trials: it is refused for some time.
+/// A request crashed servers in isolated trials too: it is refused for some time.
 pub const REQUEST_REFUSED: Event = event(406, Level::Warn, "request that ends servers refused");
 /// A server has answered a request that was suspected or refused.
 pub const REQUEST_CLEARED: Event = event(407, Level::Info, "suspected request cleared");
--- a/crates/eelgrasspier/src/forward.rs
+++ b/crates/eelgrasspier/src/forward.rs
@@ -29,7 +29,7 @@
 /// Time reserved for the reply of another instance to arrive.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(2);
 
-/// Groups shards by an instance that is connected to one of their replicas.
+/// Groups shards by instance, each shard under one that is connected to one of its replicas.
 ///
 /// The second list contains the shards for which no such instance is live.
 pub(crate) fn group_by_peer(
--- a/crates/eelgrasspier/src/query.rs
+++ b/crates/eelgrasspier/src/query.rs
@@ -21,9 +21,9 @@
 
 /// Minimum time reserved for merging the parts and sending the response.
 const MIN_RESPONSE_MARGIN: Duration = Duration::from_millis(4);
-/// Divisor of the deadline that gives the reserved time for longer deadlines.
+/// Divisor of the deadline that gives the reserved time if that exceeds the minimum.
 ///
-/// Threads that are busy need more time for merging and sending.
+/// A busy thread is late itself at the cut-off, so longer deadlines reserve more time.
 const RESPONSE_MARGIN_DIVISOR: u32 = 25;
 /// Minimum remaining time for a retry on a newer snapshot.
 const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(10);
--- a/crates/eelgrasspier/src/replica.rs
+++ b/crates/eelgrasspier/src/replica.rs
@@ -146,7 +146,9 @@
         self.consecutive_failures.get() >= FAILURES_UNTIL_DOWN
     }
 
-    /// Returns true if new work may be sent: the server is not leaving by any report.
+    /// Returns true if new work may be sent.
+    ///
+    /// Neither the server itself nor another instance has reported that the server is leaving.
     pub(crate) fn accepts_work(&self, leaving: &DrainingServers) -> bool {
         let report = self.report.borrow();
         !report.is_draining && !leaving.contains(self.server(report.incarnation))
--- a/crates/eelgrasspier/src/run.rs
+++ b/crates/eelgrasspier/src/run.rs
@@ -43,7 +43,7 @@
     pub(crate) deadline: Instant,
 }
 
-/// Claim of one attempt; dropping it before anything was sent releases the claim.
+/// Claim of one attempt; dropping it releases the claim unless the request may have run.
 struct ClaimGuard<'a> {
     run: &'a Run,
     traffic: &'a TrafficThread,
@@ -170,10 +170,9 @@
         }
     }
 
-    /// Acquires a connection to a replica, waiting for a free one until the deadline allows no
-    /// more.
+    /// Acquires a connection to a replica other than `excluded`.
     ///
-    /// Replica `excluded` is not used.
+    /// Waits for a free connection while enough time remains to execute the request.
     async fn acquire_permit(
         &self,
         traffic: &TrafficThread,
--- a/crates/eelgrasspier/src/service.rs
+++ b/crates/eelgrasspier/src/service.rs
@@ -97,7 +97,8 @@
         }
         all.sort_unstable();
         all.dedup();
-        // Versions of replicas without a local connection are not known; assume all known versions.
+        // The versions of replicas without a local connection are not known here. They are assumed
+        // to hold every known version; the request for a part shows whether they do.
         for (number, replicas) in self.numbered_shards() {
             if !has_connections(replicas) {
                 catalog.add(number, &all);
--- a/crates/eelgrasspier/src/settings.rs
+++ b/crates/eelgrasspier/src/settings.rs
@@ -31,7 +31,7 @@
     pub peer_addr: SocketAddr,
     /// Number of threads that serve callers.
     pub traffic_threads: usize,
-    /// Peers to contact when the platform is unreachable.
+    /// Peers to contact while no other instance is known, such as when the platform is unreachable.
     pub seeds: Vec<SocketAddr>,
     /// Time for which a stopping instance continues to serve until load balancers notice, in
     /// milliseconds.
--- a/crates/eelgrasspier/src/shared.rs
+++ b/crates/eelgrasspier/src/shared.rs
@@ -31,7 +31,7 @@
         until: Instant,
         reply: oneshot::Sender<Result<ClaimResult, ClaimError>>,
     },
-    /// Releases the claim of an attempt that certainly sent nothing.
+    /// Releases the claim of an attempt whose request certainly did not run.
     Release { key: Key, nonce: Nonce },
     /// Reports that a backend server announced that it is leaving.
     ServerLeaving(ServerIncarnation),
@@ -89,8 +89,7 @@
         warm >= self.settings.traffic_threads && self.view.load().is_ready()
     }
 
-    /// Sends a request to the control thread and waits for the reply; `None` if the thread has
-    /// ended.
+    /// Sends a request to the control thread and returns its reply; `None` if the thread has ended.
     pub(crate) async fn call_control<T>(
         &self,
         build: impl FnOnce(oneshot::Sender<T>) -> ControlRequest,
--- a/crates/eelgrasspier/src/timeline.rs
+++ b/crates/eelgrasspier/src/timeline.rs
@@ -1,4 +1,4 @@
-//! Time line of this process's events, in bounded memory.
+//! Timeline of this process's events, in bounded memory.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
@@ -26,7 +26,7 @@
 }
 
 impl Timeline {
-    /// Creates an empty time line for the process `id`.
+    /// Creates an empty timeline for the process `id`.
     #[must_use]
     pub fn new(id: InstanceId) -> Self {
         Self {
--- a/crates/operator/src/messages.rs
+++ b/crates/operator/src/messages.rs
@@ -85,7 +85,7 @@
     Forbidden,
 }
 
-/// Event of the time line.
+/// Event of the timeline.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimelineEntry {
     /// Stamp of the hybrid logical clock: milliseconds since the epoch, shifted left by 16 bits.
@@ -104,7 +104,7 @@
     pub detail: String,
 }
 
-/// Compares tokens in constant time, independent of the first difference.
+/// Compares tokens in a time that does not depend on where they differ.
 #[must_use]
 pub fn tokens_match(given: &str, wanted: &str) -> bool {
     given.as_bytes().ct_eq(wanted.as_bytes()).into()
--- a/crates/peer/src/client.rs
+++ b/crates/peer/src/client.rs
@@ -92,7 +92,7 @@
         self.request_with_callback(addr, body, timeout, || ()).await
     }
 
-    /// Like [`PeerConnections::request`], but calls `on_sent` once the request is handed to a connection.
+    /// Like [`Self::request`], but calls `on_sent` just before the request is queued for sending.
     ///
     /// # Errors
     /// Fails with [`PeerError::NotReached`] if the request was not sent, including when the timeout
--- a/crates/peer/src/wire.rs
+++ b/crates/peer/src/wire.rs
@@ -54,7 +54,7 @@
     /// Answer to [`Body::EventsAsk`].
     #[prost(bytes = "bytes", tag = "10")]
     Events(bytes::Bytes),
-    /// Request for parts of a query from replicas assigned to the receiver.
+    /// Request for parts of a query from replicas that the receiver is connected to.
     #[prost(message, tag = "11")]
     Parts(QueryPartsRequest),
     /// Answer to [`Body::Parts`].
--- a/crates/peer/src/wire/gather.rs
+++ b/crates/peer/src/wire/gather.rs
@@ -68,7 +68,7 @@
     /// only use the rest.
     #[prost(uint32, tag = "17")]
     pub reserved_omissions: u32,
-    /// True if these are all shards of the request, so that the receiver may choose how to reach them.
+    /// True if these are all shards of the request; the receiver may then choose how to reach them.
     #[prost(bool, tag = "18")]
     pub has_all_shards: bool,
     /// Send time on the sender's clock, in milliseconds; 0 if not stated.
@@ -145,7 +145,7 @@
     /// Service of the replica.
     #[prost(string, tag = "2")]
     pub service: String,
-    /// Id that the caller gave to its attempt.
+    /// Id that the caller gave to its attempt; meant for logs, and not used by the receiver.
     #[prost(bytes = "bytes", tag = "3")]
     pub request_id: bytes::Bytes,
 }
--- a/crates/peer/tests/compression.rs
+++ b/crates/peer/tests/compression.rs
@@ -28,8 +28,8 @@
 
 /// A large configuration must be compressed to a tenth of its size.
 ///
-/// Uncompressed, it came into force seconds late on instances with slow links when twenty instances
-/// each pulled a megabyte from one instance of their zone.
+/// Sent uncompressed, it would come into force seconds late on instances with slow links, where
+/// twenty instances each pull a megabyte from one instance of their zone.
 #[test]
 fn a_large_configuration_compresses_to_a_tenth() {
     let large = configuration(1_800);
@@ -86,8 +86,10 @@
     });
 }
 
-/// An excessive stated size must be rejected: a block of a few hundred bytes that states gigabytes
-/// once caused an instance to be killed for its memory use.
+/// A stated size above the limit must be rejected.
+///
+/// A block of a few hundred bytes may state gigabytes; an instance that believed it would be killed
+/// for its memory use.
 #[test]
 fn an_excessive_stated_size_is_rejected() {
     let zeros = vec![0; 33 << 20];
--- a/crates/store/src/claims.rs
+++ b/crates/store/src/claims.rs
@@ -28,9 +28,9 @@
 const MAX_CLAIMS: usize = 25_000;
 /// Maximum number of abandoned attempts per bucket that wait for release.
 const MAX_PENDING_RELEASES: usize = 10_000;
-/// Time without a successful platform call after which the next failure fails all waiting claims.
+/// Time without a successful platform call after which the next failure fails the waiting claims.
 const GIVE_UP_AFTER: Duration = Duration::from_millis(500);
-/// Allowed clock skew, in milliseconds, of callers that issue keys ahead of the local clock.
+/// Maximum time in milliseconds by which the clocks of callers, which issue keys, may be ahead.
 const MAX_CLOCK_SKEW_MS: u64 = 2_000;
 /// Minimum and maximum delay between retries, in milliseconds.
 const RETRY_DELAY_MS: (u64, u64) = (10, 1_000);
@@ -143,7 +143,7 @@
         result.ok().and_then(Result::ok).ok_or(ClaimError::Unavailable)
     }
 
-    /// Releases the claim of an attempt that never sent anything.
+    /// Releases the claim of an attempt whose request certainly did not run.
     ///
     /// If a claim took effect but its answer was lost, the caller's retry would otherwise be
     /// refused and the request would never run.
@@ -273,8 +273,8 @@
         };
         let mut state = self.buckets[bucket].borrow_mut();
         if cached.1.era != era {
-            // The missing bucket may never have existed, so only keys issued before this era are
-            // refused.
+            // A missing bucket may never have existed; then only keys issued before this era was
+            // first seen are refused.
             let from_ms = if cached.0.is_some() { now_ms() } else { self.era_seen.get().1 };
             let floor_ms = from_ms + MAX_CLOCK_SKEW_MS;
             log::warn!(
--- a/crates/store/src/collections.rs
+++ b/crates/store/src/collections.rs
@@ -104,7 +104,7 @@
         may_be_stale: bool,
     ) -> StoreFuture<'_, Result<CollectionAnswer, CollectionError>>;
 
-    /// Waits up to `wait` for changes after revision `since`.
+    /// Returns the changes after revision `since` once there are any, or after `wait`.
     fn watch(
         &self,
         kind: CollectionKind,
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! The recorder does not calibrate a clock. The one used before compared the processor's cycle
 //! counter with the system clock at each start, which took up to 200 ms of processor time on an
-//! instance with an eighth of a core, at the worst moment: right after a full restart.
+//! instance with an eighth of a core, at the worst moment: right after a restart of all instances.
 
 use std::sync::Arc;
 
