--- a/crates/standin/src/backends.rs
+++ b/crates/standin/src/backends.rs
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{Notify, Semaphore};
 
-/// Requests running or waiting for a slot above which a replica sheds new ones.
+/// Number of running and queued requests above which a replica sheds new ones.
 const MAX_PENDING_REQUESTS: u64 = 40;
 /// Time for which a silent connection delays each request.
 const SILENT_DELAY: Duration = Duration::from_mins(1);
--- a/crates/standin/src/gossip_net.rs
+++ b/crates/standin/src/gossip_net.rs
@@ -1,7 +1,7 @@
 //! Gossip state machines of many instances in one process, run in virtual time.
 //!
-//! Measures how traffic and propagation time grow with the number of instances. Lost
-//! datagrams are the only simulated fault.
+//! Measures how traffic and propagation time grow with the number of instances. This is not a
+//! cluster simulator: lost datagrams are the only simulated fault, and time is a counter.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -95,9 +95,9 @@
         }
     }
 
-    /// Advances time until `holds` returns true and returns the elapsed milliseconds.
+    /// Advances time until `predicate` returns true and returns the elapsed milliseconds.
     ///
-    /// Returns `None` if this takes longer than `most_ms`.
+    /// Returns `None` if this takes longer than `max_ms`.
     pub fn run_until(&mut self, max_ms: u64, predicate: impl Fn(&Self) -> bool) -> Option<u64> {
         let start_ms = self.now_ms;
         while !predicate(self) {
@@ -175,6 +175,8 @@
 
 impl Node {
     /// Updates the share agreement after a membership change and announces its digest.
+    ///
+    /// Follows the daemon's `control` module: the members determine the shares of connections.
     fn update_agreement(&mut self) {
         if self.seen_epoch == self.membership.change_count() {
             return;
--- a/crates/standin/tests/commands.rs
+++ b/crates/standin/tests/commands.rs
@@ -24,8 +24,10 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-/// Checks and submits a text, then reads it, the status and the timeline of the edit, which
-/// lists the events of all instances in one order.
+/// Checks and submits a text, then reads the text, the status and the timeline.
+///
+/// The timeline merges the events of all instances: the edit is accepted, then the version takes
+/// effect on each instance. The test checks that these events are listed, not their order.
 #[actix_web::test]
 async fn cli_submits_text_and_shows_timeline() {
     let cluster = common::cluster(3, 2).await;
--- a/crates/standin/tests/overload.rs
+++ b/crates/standin/tests/overload.rs
@@ -31,8 +31,8 @@
 }
 
 /// Guards against queries that wait for their whole deadline because of one unavailable shard:
-/// both replicas of a shard stop answering and recover later. Replicas that are known to be down
-/// must not be tried by every query.
+/// both replicas of a shard stop answering and recover later. Queries wait this long if replicas
+/// that are known to be down are tried all the same.
 #[actix_web::test]
 async fn unavailable_shard_is_skipped_and_recovers() {
     let cluster = common::cluster(1, 3).await;
--- a/crates/standin/tests/restored.rs
+++ b/crates/standin/tests/restored.rs
@@ -113,7 +113,8 @@
     })
     .await
     .unwrap();
-    // The instances write the text to the platform again, under a new high version.
+    // The instances write the text to the platform again, under a new high version, so that a
+    // cluster that starts without any earlier state also gets it.
     wait_until("the text is written to the platform again", async || {
         let shown = cluster.admin(0).text().await.unwrap();
         assert_eq!(shown.text, newer);
--- a/crates/standin/tests/slices.rs
+++ b/crates/standin/tests/slices.rs
@@ -6,8 +6,8 @@
 use eelgrasspier_standin::load;
 
 /// Guards against shards that are permanently missing from answers: with seven instances and
-/// three connections per replica, no instance is connected to every shard. It has to request the
-/// other shards from instances that are.
+/// three connections per replica, no instance is connected to every shard. Each has to request the
+/// other shards from instances that are connected to them.
 ///
 /// Also guards against a race after startup. On a busy machine one answer in 120 lacked shards
 /// ("no replica holds the index version"): an instance was asked for parts of a replica whose
