--- a/crates/standin/tests/runs.rs
+++ b/crates/standin/tests/runs.rs
@@ -56,8 +56,8 @@
 }
 
 /// Guards against a request that never runs, or runs twice, after the answer to its claim is
-/// lost. Treated as a failure, the key would stay claimed without an owner; treated as a success
-/// without reading it again, the claim could belong to another instance.
+/// lost. If this is treated as a failure, the key stays claimed without an owner. If it is treated
+/// as a success without reading the claim again, the claim may belong to another instance.
 #[actix_web::test]
 async fn claim_with_lost_answer_is_confirmed_by_read() {
     let cluster = common::cluster(2, 2).await;
