--- a/crates/router/src/control/fetch.rs
+++ b/crates/router/src/control/fetch.rs
@@ -13,7 +13,7 @@
 use eelgrasspier_store::CollectionKind;
 
 use super::Control;
-use crate::zone_bytes::Cause;
+use crate::traffic_metrics::Cause;
 
 /// Time for an instance of the own zone to obtain a change, in milliseconds.
 ///
--- a/crates/router/src/control/join.rs
+++ b/crates/router/src/control/join.rs
@@ -14,7 +14,7 @@
 use eelgrasspier_peer::wire::{Body, Empty, Members};
 
 use super::Control;
-use crate::zone_bytes::Cause;
+use crate::traffic_metrics::Cause;
 
 /// Process ages at which the member table is fetched, in milliseconds.
 ///
--- a/crates/router/src/control/members.rs
+++ b/crates/router/src/control/members.rs
@@ -13,7 +13,7 @@
 use prost::Message;
 
 use super::Control;
-use crate::zone_bytes::{self, Cause};
+use crate::traffic_metrics::{self, Cause};
 
 /// Maximum number of instances that are notified of a change directly, own zone first.
 ///
@@ -77,7 +77,7 @@
 
     /// Counts bytes to or from the instance at `addr`.
     pub(super) fn count_bytes(&self, cause: Cause, addr: SocketAddr, bytes: usize) {
-        zone_bytes::count(cause, self.remote_zone_addrs.borrow().contains(&addr), bytes);
+        traffic_metrics::count(cause, self.remote_zone_addrs.borrow().contains(&addr), bytes);
     }
 
     pub(super) fn send(&self, sends: Vec<OutgoingDatagram>) {
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -22,10 +22,10 @@
 
 use crate::backend::Backend;
 use crate::control::{Ask, Control, Identity};
-use crate::peers::PeerRequestHandler;
+use crate::peer_requests::PeerRequestHandler;
 use crate::reload::{ActiveSettings, SettingsFile};
 use crate::router::Router;
-use crate::setup::Setup;
+use crate::settings::Setup;
 use crate::view::Shared;
 
 /// Time after the start of a stop for which idle connections stay open.
--- a/crates/router/src/gather/mod.rs
+++ b/crates/router/src/gather/mod.rs
@@ -20,7 +20,7 @@
 use tokio::sync::mpsc;
 
 use crate::backend::Reply;
-use crate::cold::ColdAdmission;
+use crate::cold_limiter::ColdAdmission;
 use crate::model::Request;
 use crate::route_state::{RouteState, Timing};
 use crate::router::Router;
--- a/crates/router/src/gather/send.rs
+++ b/crates/router/src/gather/send.rs
@@ -12,7 +12,7 @@
 use super::shard::{Shard, ShardState};
 use super::{CONNECTION_RETRY_MS, Event, Gather};
 use crate::backend::Attempt;
-use crate::cold::ColdAdmission;
+use crate::cold_limiter::ColdAdmission;
 
 /// Interval at which a postponed hedge is reconsidered, in milliseconds.
 ///
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -5,32 +5,32 @@
 //! each shard. Both use the same scatter-gather code, with one shard or many.
 
 mod backend;
-mod cold;
-mod connections;
+mod cold_limiter;
 mod control;
+mod crash_detection;
 mod daemon;
 pub mod events;
 mod gather;
-mod losses;
+mod load_reports;
+mod log_output;
 mod model;
 mod outcome;
-mod output;
-mod peers;
+mod peer_requests;
+mod preconnect;
+mod quarantine_state;
 mod relay;
 mod reload;
 mod route_state;
 mod router;
-mod setup;
-mod suspects;
-mod told;
+mod settings;
+mod traffic_metrics;
 mod view;
-mod zone_bytes;
 
 pub use backend::{Attempt, Backend, BackendFuture, Reply};
 pub use daemon::{Adapters, RunError, run};
+pub use log_output::{finish_log, log_to_stdout};
 pub use model::{Learnt, Merged, Outcome, Request};
-pub use output::{finish_log, log_to_stdout};
 pub use reload::SettingsFile;
 pub use router::Router;
-pub use setup::Setup;
+pub use settings::Setup;
 pub use view::{Peer, Replicas, Shared, View};
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -19,8 +19,8 @@
 use crate::model::{Learnt, Request};
 use crate::route_state::RouteState;
 use crate::router::{InFlightGuard, PEER_SLOTS, Router, UNHEALTHY_PEER_COST, peer_key};
+use crate::traffic_metrics::{self, Cause};
 use crate::view::{Peer, View};
-use crate::zone_bytes::{self, Cause};
 
 /// Time after which a connection without a response is closed.
 ///
@@ -84,7 +84,7 @@
         let started = Instant::now();
         let guard = InFlightGuard::start(&replica_stats, self.shared.now_ms(), typical_ms);
         let is_cross_zone = peer.zone != self.zone;
-        zone_bytes::count(Cause::Gather, is_cross_zone, peer_request.encoded_len());
+        traffic_metrics::count(Cause::Gather, is_cross_zone, peer_request.encoded_len());
         let result = self
             .peer_connections
             .request_with_callback(peer.addr, peer_request, time_left, || dispatched.set())
@@ -94,7 +94,7 @@
         metrics::histogram!("eelgrasspier_relay_seconds").record(took.as_secs_f64());
         match result {
             Ok(Body::Gathered(answer)) => {
-                zone_bytes::count(Cause::Gather, is_cross_zone, answer.encoded_len());
+                traffic_metrics::count(Cause::Gather, is_cross_zone, answer.encoded_len());
                 let took_ms = took.as_secs_f64() * 1000.0;
                 replica_stats.borrow_mut().record_answer(took_ms, typical_ms, self.shared.now_ms());
                 state.record_relay(took);
--- a/crates/router/src/reload.rs
+++ b/crates/router/src/reload.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, SystemTime};
 
 use crate::router::Router;
-use crate::setup::Setup;
+use crate::settings::Setup;
 
 /// Interval between checks of the file, which may change without a signal.
 ///
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -20,14 +20,14 @@
 use tokio::time::Instant;
 
 use crate::backend::{Attempt, Backend, Reply};
-use crate::cold::ColdLimiter;
+use crate::cold_limiter::ColdLimiter;
 use crate::gather::{Deadlines, Gather, Requester};
 use crate::model::{Outcome, Request};
 use crate::outcome::{merged_outcome, record_outcome, single_outcome};
+use crate::quarantine_state::Suspects;
 use crate::route_state::{RouteState, Timing};
-use crate::suspects::Suspects;
+use crate::traffic_metrics::{self, Cause};
 use crate::view::{Shared, View};
-use crate::zone_bytes::{self, Cause};
 
 /// Minimum retry delay sent to callers while no configuration is loaded.
 ///
@@ -320,7 +320,7 @@
             replica_stats.borrow_mut().record_sent_work(work_ms, replica.slots, sent_ms);
         let guard = InFlightGuard { stats: Rc::clone(&replica_stats), sent_ms };
         let is_cross_zone = replica.zone != self.zone;
-        zone_bytes::count(Cause::Replica, is_cross_zone, attempt.request.body.len());
+        traffic_metrics::count(Cause::Replica, is_cross_zone, attempt.request.body.len());
         let result = self.backend.send(attempt).await;
         drop(guard);
         self.end_trial(&request, &replica);
@@ -331,7 +331,7 @@
         match &result {
             Ok(reply) => {
                 self.record_answered(&request);
-                zone_bytes::count(Cause::Replica, is_cross_zone, reply.body.len());
+                traffic_metrics::count(Cause::Replica, is_cross_zone, reply.body.len());
                 // The reported load includes the request that was just answered.
                 replica_stats
                     .record_reported_load(reply.load.unwrap_or(0).saturating_sub(1), now_ms);
