--- a/crates/router/src/cold_limiter.rs
+++ b/crates/router/src/cold_limiter.rs
@@ -12,13 +12,13 @@
 use crate::router::Router;
 use crate::view::{Peer, View};
 
-/// Timeout for a permission from the owner; it allows for several round trips within a region.
+/// Timeout for a permission from the coordinator; it allows for several round trips within a region.
 const COLD_SEND_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// Rate limiter for requests to cold replicas.
 #[derive(Debug, Default)]
 pub(crate) struct ColdLimiter {
-    bounds: Cell<ColdTolerance>,
+    tolerance: Cell<ColdTolerance>,
     windows: RefCell<SlidingWindows>,
 }
 
@@ -30,15 +30,15 @@
     /// The replica is cold, this instance counts its requests, and it is below the limit.
     CountedHere,
     /// The replica is cold, and the given instance counts its requests.
-    AskOwner(Peer),
+    AskCoordinator(Peer),
     /// The replica is at its limit, or another instance may be counting its requests as well.
     Denied,
 }
 
 impl Router {
     /// Replaces the limits for cold replicas.
-    pub fn set_cold_bounds(&self, bounds: ColdTolerance) {
-        self.cold.bounds.set(bounds);
+    pub fn set_cold_tolerance(&self, tolerance: ColdTolerance) {
+        self.cold_limiter.tolerance.set(tolerance);
     }
 
     /// True if a replica is cold, so that its rate of requests is limited.
@@ -54,11 +54,11 @@
         }
         match self.cold_rate_limit(view, replica) {
             None => ColdAdmission::Unlimited,
-            Some(share) => self.cold_admission_by_owner(view, replica, share),
+            Some(share) => self.cold_admission_by_coordinator(view, replica, share),
         }
     }
 
-    fn cold_admission_by_owner(
+    fn cold_admission_by_coordinator(
         &self,
         view: &View,
         replica: &ReplicaEntry,
@@ -74,18 +74,25 @@
             peers = view.gatherers.iter().collect();
             (is_candidate, zone) = (view.is_gatherer, None);
         }
-        let mut candidates: Vec<Candidate> = peers.iter().map(|p| p.candidate()).collect();
+        let mut candidates: Vec<Candidate> = peers.iter().map(|p| p.gather_candidate()).collect();
         if is_candidate {
             candidates.push(Candidate { key: self.key, capacity_milli: view.capacity_milli });
         }
         match gatherers::owner(&replica.service, &candidates) {
             None => ColdAdmission::Denied,
-            Some(index) if index < peers.len() => ColdAdmission::AskOwner(peers[index].clone()),
+            Some(index) if index < peers.len() => {
+                ColdAdmission::AskCoordinator(peers[index].clone())
+            }
             Some(_) => {
-                let is_owner = view.settled.is_stable(zone, now_ms)
-                    && cold_limit::is_connected(view.fleet, self.shared.heard_ms(), now_ms);
-                let has_room = self.cold.windows.borrow().has_room(&replica.id, share, now_ms);
-                if is_owner && has_room {
+                let is_coordinator = view.gatherer_stability.is_stable(zone, now_ms)
+                    && cold_limit::is_connected(
+                        view.fleet_size,
+                        self.shared.last_contact_ms(),
+                        now_ms,
+                    );
+                let has_room =
+                    self.cold_limiter.windows.borrow().has_room(&replica.id, share, now_ms);
+                if is_coordinator && has_room {
                     ColdAdmission::CountedHere
                 } else {
                     ColdAdmission::Denied
@@ -94,26 +101,27 @@
         }
     }
 
-    /// Returns the requests per second that one owner grants a cold replica; `None` if unlimited.
+    /// Returns the requests per second that one coordinator grants a cold replica; `None` if unlimited.
     fn cold_rate_limit(&self, view: &View, replica: &ReplicaEntry) -> Option<usize> {
         let services = &view.configuration.as_ref()?.services;
         let rate_milli = services.get(&replica.service)?.cold_rate_milli;
-        cold_limit::coordinator_limit(rate_milli, self.cold.bounds.get())
+        cold_limit::coordinator_limit(rate_milli, self.cold_limiter.tolerance.get())
     }
 
     /// Counts one request to a cold replica; returns false if the limit has been reached.
     pub(crate) fn try_take_cold_send(&self, view: &View, replica: &ReplicaEntry) -> bool {
         let Some(share) = self.cold_rate_limit(view, replica) else { return true };
         let now_ms = self.shared.now_ms();
-        let is_taken = self.cold.windows.borrow_mut().try_record(&replica.id, share, now_ms);
+        let is_taken =
+            self.cold_limiter.windows.borrow_mut().try_record(&replica.id, share, now_ms);
         count_cold_send(is_taken);
         is_taken
     }
 
-    /// Asks the owner of a cold replica for permission to send a request there.
+    /// Asks the coordinator of a cold replica for permission to send a request there.
     pub(crate) async fn request_cold_send(
         &self,
-        owner: &Peer,
+        coordinator: &Peer,
         replica: &ReplicaEntry,
         request: &Request,
     ) -> bool {
@@ -123,19 +131,19 @@
             request_id: request.id.as_bytes().to_vec().into(),
         });
         let answer =
-            self.peer_connections.request(owner.addr, peer_request, COLD_SEND_TIMEOUT).await;
+            self.peer_connections.request(coordinator.addr, peer_request, COLD_SEND_TIMEOUT).await;
         let is_allowed = matches!(answer, Ok(Body::ColdSendAllowed(true)));
         log::info!(
             "event=cold_send id={} replica={} keeper={} allowed={is_allowed}",
             request.id_text(),
             replica.id,
-            owner.name
+            coordinator.name
         );
         is_allowed
     }
 
     /// Answers another instance that wants to send a request to a cold replica.
-    pub(crate) fn allow_cold_send(&self, peer_request: &ColdSendRequest) -> bool {
+    pub(crate) fn grant_cold_send(&self, peer_request: &ColdSendRequest) -> bool {
         let view = self.shared.view.load_full();
         let listed = view.replicas.get(peer_request.service.as_str());
         let replica = listed.and_then(|all| all.iter().find(|r| *r.id == *peer_request.replica));
@@ -145,7 +153,7 @@
             // The replica has become warm in the meantime.
             ColdAdmission::Unlimited => true,
             ColdAdmission::CountedHere => self.try_take_cold_send(&view, replica),
-            ColdAdmission::AskOwner(_) | ColdAdmission::Denied => {
+            ColdAdmission::AskCoordinator(_) | ColdAdmission::Denied => {
                 count_cold_send(false);
                 false
             }
@@ -153,8 +161,8 @@
     }
 
     /// Drops counts that are older than the rate limit's window.
-    pub(crate) fn tidy_cold(&self) {
-        self.cold.windows.borrow_mut().remove_idle(self.shared.now_ms());
+    pub(crate) fn prune_cold_sends(&self) {
+        self.cold_limiter.windows.borrow_mut().remove_idle(self.shared.now_ms());
     }
 }
 
--- a/crates/router/src/control/apply.rs
+++ b/crates/router/src/control/apply.rs
@@ -77,7 +77,7 @@
     /// Applies one replica entry; `is_quiet` lowers the level of its log line to debug.
     fn apply_replica(&self, effect: Effect, as_of: u64, source: &str, is_quiet: bool) -> bool {
         let change = match effect {
-            Effect::Set(name, content) => match self.decode.replica(&name, &content) {
+            Effect::Set(name, content) => match self.decoder.replica(&name, &content) {
                 Ok(entry) => EntryChange::Set(entry),
                 Err(error) => {
                     log::warn!("event=entry_unreadable replica={name} cause=\"{error}\"");
@@ -106,7 +106,7 @@
     fn apply_evacuation(&self, effect: Effect, as_of: u64, source: &str) -> bool {
         let change = match effect {
             Effect::Set(name, content) => {
-                ZoneChange::Evacuated(self.decode.evacuated_zone(&name, &content))
+                ZoneChange::Evacuated(self.decoder.evacuated_zone(&name, &content))
             }
             Effect::Removed(name) => ZoneChange::Returned(name.into()),
         };
@@ -131,7 +131,7 @@
             log::warn!("event=configuration_deleted source={source}");
             return false;
         };
-        let configuration = match self.decode.configuration(&content) {
+        let configuration = match self.decoder.configuration(&content) {
             Ok(configuration) => configuration,
             Err(error) => {
                 log::error!("event=configuration_unreadable cause=\"{error}\"");
@@ -145,7 +145,7 @@
             return false;
         }
         let routes = configuration.routes.len();
-        *self.table.borrow_mut() = Arc::new(RouteTable::from(&configuration));
+        *self.route_table.borrow_mut() = Arc::new(RouteTable::from(&configuration));
         *self.configuration.borrow_mut() = Some(Arc::new(configuration));
         log::info!(
             "event=configuration version={version} before={known:?} routes={routes} source={source}"
--- a/crates/router/src/control/fetch.rs
+++ b/crates/router/src/control/fetch.rs
@@ -13,7 +13,7 @@
 use eelgrasspier_store::CollectionKind;
 
 use super::Control;
-use crate::traffic_metrics::Cause;
+use crate::traffic_metrics::TrafficCause;
 
 /// Time for an instance of the own zone to obtain a change, in milliseconds.
 ///
@@ -38,7 +38,7 @@
             }
         };
         let answer = self.peer_connections.request(addr, request, timeout).await?;
-        self.count_bytes(Cause::Changes, addr, answer.encoded_len());
+        self.count_bytes(TrafficCause::Changes, addr, answer.encoded_len());
         Ok(compression::decompress(answer))
     }
 
--- a/crates/router/src/control/follow.rs
+++ b/crates/router/src/control/follow.rs
@@ -55,7 +55,7 @@
     /// Keeps one kind up to date by lists, watches and polls, for as long as the thread runs.
     pub(super) async fn follow(self: Rc<Self>, kind: CollectionKind) {
         let mut backoff = Backoff::new(MIN_BACKOFF_MS, MAX_BACKOFF_MS);
-        if self.identity.is_first_start {
+        if self.identity.is_bootstrap {
             self.wait_for_first_list(kind).await;
         } else {
             self.fetch_from_seeds(kind).await;
--- a/crates/router/src/control/instances.rs
+++ b/crates/router/src/control/instances.rs
@@ -51,7 +51,7 @@
     pub(super) async fn follow_instances(self: Rc<Self>) {
         let mut backoff = Backoff::new(MIN_BACKOFF_MS, MAX_LIST_DELAY_MS);
         let mut entries = EntryState::default();
-        if self.identity.is_first_start {
+        if self.identity.is_bootstrap {
             tokio::time::sleep(GOSSIP_JOIN_TIME).await;
         }
         loop {
@@ -106,7 +106,7 @@
     fn is_list_due(&self, entries: &EntryState) -> bool {
         match entries.listed_at {
             Some(at) => (self.is_alone() || self.is_watcher()) && at.elapsed() >= LIST_INTERVAL,
-            None => self.is_alone() || self.is_watcher() || !self.identity.is_first_start,
+            None => self.is_alone() || self.is_watcher() || !self.identity.is_bootstrap,
         }
     }
 
@@ -131,7 +131,7 @@
         let changes =
             changes.inspect_err(|e| log::info!("event=instances_not_listed cause=\"{e}\""))?;
         let read = changes.changes.objects.iter().filter_map(|o| {
-            let read = self.decode.instance(&o.name, &o.content);
+            let read = self.decoder.instance(&o.name, &o.content);
             read.inspect_err(|e| log::warn!("event=instance_unreadable cause=\"{e}\"")).ok()
         });
         let read: Vec<InstanceEntry> = read.collect();
--- a/crates/router/src/control/join.rs
+++ b/crates/router/src/control/join.rs
@@ -1,4 +1,4 @@
-//! How a starting instance learns the members of the fleet.
+//! How a starting instance finds the members of the fleet.
 //!
 //! A gossip datagram carries a dozen records, so 195 instances that started together knew each
 //! other only after 10 s. Until then each sent requests to replicas of all zones itself instead of
@@ -14,7 +14,7 @@
 use eelgrasspier_peer::wire::{Body, Empty, Members};
 
 use super::Control;
-use crate::traffic_metrics::Cause;
+use crate::traffic_metrics::TrafficCause;
 
 /// Process ages at which the member table is fetched, in milliseconds.
 ///
@@ -63,7 +63,7 @@
     async fn fetch_members(&self, addr: SocketAddr) -> Result<Members, PeerError> {
         let answer =
             self.peer_connections.request(addr, Body::MembersAsk(Empty {}), FETCH_TIMEOUT).await?;
-        self.count_bytes(Cause::Members, addr, answer.encoded_len());
+        self.count_bytes(TrafficCause::Members, addr, answer.encoded_len());
         match answer {
             Body::Members(answer) => Ok(answer),
             _ => Ok(Members::default()),
--- a/crates/router/src/control/members.rs
+++ b/crates/router/src/control/members.rs
@@ -13,7 +13,7 @@
 use prost::Message;
 
 use super::Control;
-use crate::traffic_metrics::{self, Cause};
+use crate::traffic_metrics::{self, TrafficCause};
 
 /// Maximum number of instances that are notified of a change directly, own zone first.
 ///
@@ -72,17 +72,17 @@
     /// Returns the configured seed addresses except the own one; they may be stale.
     pub(super) fn other_seeds(&self) -> impl Iterator<Item = SocketAddr> {
         let own = self.identity.peer_addr;
-        self.identity.seeds.iter().copied().filter(move |addr| *addr != own)
+        self.identity.seed_addrs.iter().copied().filter(move |addr| *addr != own)
     }
 
     /// Counts bytes to or from the instance at `addr`.
-    pub(super) fn count_bytes(&self, cause: Cause, addr: SocketAddr, bytes: usize) {
+    pub(super) fn count_bytes(&self, cause: TrafficCause, addr: SocketAddr, bytes: usize) {
         traffic_metrics::count(cause, self.remote_zone_addrs.borrow().contains(&addr), bytes);
     }
 
     pub(super) fn send(&self, sends: Vec<OutgoingDatagram>) {
         for send in sends {
-            self.count_bytes(Cause::Gossip, send.to, send.datagram.encoded_len());
+            self.count_bytes(TrafficCause::Gossip, send.to, send.datagram.encoded_len());
             // The receiving task lives as long as this thread.
             let _is_disconnected = self.outbox.send(send).is_err();
         }
@@ -114,7 +114,7 @@
         self.detect_peer_outage();
         self.fetch_newer(CollectionKind::Configuration);
         self.fetch_newer(CollectionKind::Replicas);
-        if self.identity.has_evacuations {
+        if self.identity.is_evacuation_enabled {
             self.fetch_newer(CollectionKind::Evacuations);
         }
     }
@@ -203,7 +203,7 @@
             membership.update_own(|m| m.state = InstanceState::Ready as i32);
             drop(membership);
             log::info!("event=ready");
-            // The others send it gather requests only after they have learnt that it is ready.
+            // The others send it gather requests only after they know that it is ready.
             self.send_own_record();
         }
     }
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -33,7 +33,7 @@
 use eelgrasspier_store::{CollectionKind, Collections, DecodeContent};
 use tokio::sync::{Notify, mpsc, oneshot};
 
-use crate::view::{Replicas, Shared};
+use crate::view::{ReplicasByService, SharedState};
 use stored_suspects::StoredSuspects;
 
 /// Interval at which expirations and membership timers are checked.
@@ -41,13 +41,13 @@
 
 /// A request from another thread to the control thread.
 #[derive(Debug)]
-pub(crate) enum Ask {
+pub(crate) enum ControlRequest {
     /// Another instance requests the changes of a kind after a position.
     Changes { kind: CollectionKind, after: Position, reply: oneshot::Sender<Changes> },
     /// Another instance requests its member table.
     Members { reply: oneshot::Sender<wire::Members> },
     /// The traffic thread has new reports on requests that crash replicas.
-    Tell(Vec<Report>),
+    PublishReports(Vec<Report>),
     /// A planned stop begins.
     Stop,
 }
@@ -58,19 +58,19 @@
     pub(crate) name: String,
     pub(crate) zone: String,
     pub(crate) peer_addr: SocketAddr,
-    pub(crate) seeds: Vec<SocketAddr>,
+    pub(crate) seed_addrs: Vec<SocketAddr>,
     pub(crate) capacity_milli: u32,
-    pub(crate) is_first_start: bool,
-    pub(crate) has_evacuations: bool,
-    pub(crate) heartbeat: Duration,
+    pub(crate) is_bootstrap: bool,
+    pub(crate) is_evacuation_enabled: bool,
+    pub(crate) heartbeat_interval: Duration,
 }
 
 /// The state of the control thread.
 pub(crate) struct Control {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     identity: Identity,
     store: Rc<dyn Collections>,
-    decode: Arc<dyn DecodeContent>,
+    decoder: Arc<dyn DecodeContent>,
     peer_connections: PeerConnections,
     membership: RefCell<Membership>,
     outbox: mpsc::UnboundedSender<OutgoingDatagram>,
@@ -81,7 +81,7 @@
     /// Zones whose replicas must not receive requests.
     evacuations: RefCell<Evacuations>,
     /// Replicas of the directory that accept new requests, by service.
-    replicas: RefCell<Arc<Replicas>>,
+    replicas: RefCell<Arc<ReplicasByService>>,
     /// Time until which each rate-limited replica is cold.
     cold_until_ms: RefCell<Arc<HashMap<Arc<str>, u64>>>,
     /// Time since which the set of gathering instances of each zone is unchanged.
@@ -91,7 +91,7 @@
     /// True if members have changed since the last published view.
     has_member_changes: Cell<bool>,
     configuration: RefCell<Option<Arc<Configuration>>>,
-    table: RefCell<Arc<RouteTable>>,
+    route_table: RefCell<Arc<RouteTable>>,
     /// Time of the store's last answer, in milliseconds.
     store_answered_ms: Cell<u64>,
     is_store_up: Cell<bool>,
@@ -133,15 +133,15 @@
     /// # Errors
     /// Fails if the gossip socket can't be bound.
     pub(crate) async fn start(
-        shared: Arc<Shared>,
+        shared: Arc<SharedState>,
         identity: Identity,
-        (store, decode): (Rc<dyn Collections>, Arc<dyn DecodeContent>),
-        requests: mpsc::UnboundedReceiver<Ask>,
+        (store, decoder): (Rc<dyn Collections>, Arc<dyn DecodeContent>),
+        requests: mpsc::UnboundedReceiver<ControlRequest>,
         reports_to_traffic: mpsc::UnboundedSender<Vec<Report>>,
     ) -> std::io::Result<()> {
         let (gossip, received) = eelgrasspier_peer::GossipSender::bind(identity.peer_addr).await?;
         let (outbox, outgoing) = mpsc::unbounded_channel();
-        let is_first_start = identity.is_first_start;
+        let is_bootstrap = identity.is_bootstrap;
         let control = Rc::new(Self {
             membership: RefCell::new(Membership::new(own_member(&identity))),
             // These frames need no order, so they carry no clock stamp.
@@ -149,7 +149,7 @@
             shared,
             identity,
             store,
-            decode,
+            decoder,
             outbox,
             reports_to_traffic,
             mirrors: RefCell::default(),
@@ -161,13 +161,13 @@
             remote_zone_addrs: RefCell::default(),
             has_member_changes: Cell::new(false),
             configuration: RefCell::default(),
-            table: RefCell::default(),
+            route_table: RefCell::default(),
             store_answered_ms: Cell::new(0),
             is_store_up: Cell::new(true),
             eras: RefCell::default(),
             regressed_era: Cell::new(None),
             store_restored: Notify::new(),
-            is_confirmed: Cell::new(is_first_start),
+            is_confirmed: Cell::new(is_bootstrap),
             peers_reaching_store: Cell::new(0),
             peer_reached_store: Notify::new(),
             has_peer_without_store: Cell::new(false),
@@ -184,7 +184,7 @@
         actix_rt::spawn(members::receive_all(Rc::clone(&control), Box::pin(received)));
         actix_rt::spawn(Rc::clone(&control).follow(CollectionKind::Configuration));
         actix_rt::spawn(Rc::clone(&control).follow(CollectionKind::Replicas));
-        if control.identity.has_evacuations {
+        if control.identity.is_evacuation_enabled {
             actix_rt::spawn(Rc::clone(&control).follow(CollectionKind::Evacuations));
         }
         actix_rt::spawn(Rc::clone(&control).follow_instances());
@@ -198,23 +198,26 @@
         Ok(())
     }
 
-    async fn answer_requests(self: Rc<Self>, mut requests: mpsc::UnboundedReceiver<Ask>) {
+    async fn answer_requests(
+        self: Rc<Self>,
+        mut requests: mpsc::UnboundedReceiver<ControlRequest>,
+    ) {
         while let Some(request) = requests.recv().await {
             match request {
-                Ask::Changes { kind, after, reply } => {
+                ControlRequest::Changes { kind, after, reply } => {
                     let mirrors = self.mirrors.borrow();
                     let changes = mirrors.get(&kind).map(|m| m.changes_since(after));
                     // The requester may have disconnected.
                     let _is_disconnected = reply.send(changes.unwrap_or_default()).is_err();
                 }
-                Ask::Members { reply } => {
+                ControlRequest::Members { reply } => {
                     let membership = self.membership.borrow();
                     let reports = membership.reports(self.shared.now_ms());
                     let answer = wire::Members { members: membership.live_records(), reports };
                     let _is_disconnected = reply.send(answer).is_err();
                 }
-                Ask::Tell(reports) => self.send_reports(&reports),
-                Ask::Stop => self.announce_leaving(),
+                ControlRequest::PublishReports(reports) => self.send_reports(&reports),
+                ControlRequest::Stop => self.announce_leaving(),
             }
         }
     }
--- a/crates/router/src/control/restore.rs
+++ b/crates/router/src/control/restore.rs
@@ -57,7 +57,7 @@
 
     /// Creates an empty local copy of a kind.
     pub(super) fn empty_mirror(&self, kind: CollectionKind) -> Mirror {
-        let heartbeat_ms = u64::try_from(self.identity.heartbeat.as_millis()).unwrap_or(0);
+        let heartbeat_ms = u64::try_from(self.identity.heartbeat_interval.as_millis()).unwrap_or(0);
         let retention = match kind {
             // Configuration versions never go down.
             CollectionKind::Configuration => Retention::Always,
@@ -222,7 +222,7 @@
         for kind in
             [CollectionKind::Configuration, CollectionKind::Replicas, CollectionKind::Evacuations]
         {
-            if kind == CollectionKind::Evacuations && !self.identity.has_evacuations {
+            if kind == CollectionKind::Evacuations && !self.identity.is_evacuation_enabled {
                 continue;
             }
             let known = self.complete_position(kind).unwrap_or_default();
--- a/crates/router/src/control/stored_suspects.rs
+++ b/crates/router/src/control/stored_suspects.rs
@@ -157,7 +157,7 @@
 
     /// Loads requests that were stored before this process started.
     pub(super) async fn load_suspects_at_start(self: Rc<Self>) {
-        if self.identity.is_first_start {
+        if self.identity.is_bootstrap {
             // The store holds no requests yet.
             return;
         }
@@ -239,7 +239,7 @@
     async fn list_stored_suspects(&self) -> Result<Vec<SuspectRecord>, CollectionError> {
         let answer = self.store.list(CollectionKind::Suspects, true).await?;
         let read = answer.changes.objects.iter().filter_map(|o| {
-            let read = self.decode.suspect_record(&o.name, &o.content);
+            let read = self.decoder.suspect_record(&o.name, &o.content);
             read.inspect_err(|e| log::warn!("event=request_unreadable cause=\"{e}\"")).ok()
         });
         Ok(read.collect())
--- a/crates/router/src/control/views.rs
+++ b/crates/router/src/control/views.rs
@@ -9,7 +9,7 @@
 use eelgrasspier_store::CollectionKind;
 
 use super::Control;
-use crate::view::{Peer, Replicas, View};
+use crate::view::{Peer, ReplicasByService, View};
 
 impl Control {
     /// Rebuilds the list of replicas that accept new requests.
@@ -17,7 +17,7 @@
     /// Called only when entries change: members change more often, and a view of 400 replicas takes
     /// most of its time for this list.
     pub(super) fn rebuild_replicas(&self) {
-        let mut replicas = Replicas::new();
+        let mut replicas = ReplicasByService::new();
         let evacuations = self.evacuations.borrow();
         let accepts_requests =
             |e: &&Arc<ReplicaEntry>| !e.is_draining && !evacuations.is_evacuated(&e.zone);
@@ -29,7 +29,7 @@
     }
 
     /// Returns until when replicas are cold, or presumed so, for services that limit cold replicas.
-    fn cold_replicas(&self, replicas: &Replicas) -> HashMap<Arc<str>, u64> {
+    fn cold_replicas(&self, replicas: &ReplicasByService) -> HashMap<Arc<str>, u64> {
         let now_ms = self.shared.now_ms();
         let (configuration, directory) = (self.configuration.borrow(), self.directory.borrow());
         let evacuations = self.evacuations.borrow();
@@ -54,7 +54,7 @@
     fn update_gatherers(&self, peers: &[Peer], is_gatherer: bool) -> Arc<CoordinatorStability> {
         let mut keys: BTreeMap<Arc<str>, Vec<u64>> = BTreeMap::new();
         for peer in peers.iter().filter(|p| p.is_gatherer) {
-            keys.entry(Arc::clone(&peer.zone)).or_default().push(peer.candidate().key);
+            keys.entry(Arc::clone(&peer.zone)).or_default().push(peer.gather_candidate().key);
         }
         if is_gatherer {
             let own = self.membership.borrow().own().key();
@@ -74,26 +74,26 @@
         let is_listed = |kind| mirrors.get(&kind).is_some_and(Mirror::has_full_list);
         // A starting instance must not send to a zone that was evacuated before. A restored store
         // may also have an older configuration than the one in force at the other instances.
-        let has_replicas = self.is_confirmed.get()
+        let has_confirmed_replicas = self.is_confirmed.get()
             && is_listed(CollectionKind::Replicas)
-            && (!self.identity.has_evacuations || is_listed(CollectionKind::Evacuations));
+            && (!self.identity.is_evacuation_enabled || is_listed(CollectionKind::Evacuations));
         let is_gatherer = self.is_gatherer();
         let gatherer_stability = self.update_gatherers(&peers, is_gatherer);
         let view = View {
             configuration: self.configuration.borrow().clone(),
-            table: Arc::clone(&self.table.borrow()),
+            route_table: Arc::clone(&self.route_table.borrow()),
             replicas: Arc::clone(&self.replicas.borrow()),
-            has_replicas,
-            instances: self.instances(),
-            fleet: self.instances().max(self.listed_fleet_size.get().unwrap_or(0)),
+            has_confirmed_replicas,
+            instance_count: self.instances(),
+            fleet_size: self.instances().max(self.listed_fleet_size.get().unwrap_or(0)),
             is_gatherer,
-            settled: gatherer_stability,
+            gatherer_stability,
             cold_until_ms: Arc::clone(&self.cold_until_ms.borrow()),
             capacity_milli: self.identity.capacity_milli,
             peers: Arc::new(peers),
             ..View::default()
         };
         self.set_ready(view.is_ready());
-        self.shared.publish(view.share_out(&self.identity.zone));
+        self.shared.publish(view.with_derived_fields(&self.identity.zone));
     }
 }
--- a/crates/router/src/crash_detection.rs
+++ b/crates/router/src/crash_detection.rs
@@ -17,30 +17,31 @@
     /// Only losses of unanswered requests are recorded: a request that has been answered does not
     /// crash replicas, and most losses are not crashes, so that few of them need a probe.
     pub(crate) fn record_loss(self: &Rc<Self>, request: &Request, replica: &Arc<ReplicaEntry>) {
-        if request.learnt.is_answered.get() {
+        if request.progress.is_answered.get() {
             return;
         }
         let lost = LostSend {
             request: request.fingerprint(),
             send_id: relays::replica_hash(&format!("{} {}", request.id_text(), replica.id)),
-            is_trial: request.learnt.isolated_trials.borrow().contains(&replica.id),
+            is_trial: request.progress.isolated_trials.borrow().contains(&replica.id),
         };
         let replica_hash = rendezvous::hash(&replica.id);
-        let known = self.losses.borrow_mut().record_loss(replica_hash, lost, self.shared.now_ms());
+        let known =
+            self.lost_sends.borrow_mut().record_loss(replica_hash, lost, self.shared.now_ms());
         match known {
             ServerState::Unknown => {
                 let (router, replica) = (Rc::clone(self), Arc::clone(replica));
                 actix_rt::spawn(async move { router.probe_lost_replica(&replica).await });
             }
-            ServerState::Crashed(ended) => self.record_crash(ended),
+            ServerState::Crashed(crashed) => self.record_crash(crashed),
             ServerState::Checking | ServerState::Running => {}
         }
     }
 
     async fn probe_lost_replica(&self, replica: &Arc<ReplicaEntry>) {
         let view = self.shared.view.load_full();
-        let accepted = view.accepted_connections(&replica.service);
-        let max_connections = view.most_connections(&replica.zone, accepted);
+        let connection_limit = view.replica_connection_limit(&replica.service);
+        let max_connections = view.connection_share(&replica.zone, connection_limit);
         let listens = match self.backend.check_listening(Arc::clone(replica), max_connections).await
         {
             Ok(()) => "yes",
@@ -49,17 +50,17 @@
         };
         metrics::counter!("eelgrasspier_losses_checked_total", "listens" => listens).increment(1);
         let (replica_hash, now_ms) = (rendezvous::hash(&replica.id), self.shared.now_ms());
-        let ended =
-            self.losses.borrow_mut().record_server_state(replica_hash, listens == "no", now_ms);
-        let requests: Vec<String> = ended.iter().map(|e| e.request.to_string()).collect();
+        let crashed =
+            self.lost_sends.borrow_mut().record_server_state(replica_hash, listens == "no", now_ms);
+        let requests: Vec<String> = crashed.iter().map(|e| e.request.to_string()).collect();
         log::info!(
             "event=loss_checked replica={} service={} listens={listens} fingerprints=[{}]",
             replica.id,
             replica.service,
             requests.join(",")
         );
-        for ended in ended {
-            self.record_crash(ended);
+        for crashed in crashed {
+            self.record_crash(crashed);
         }
     }
 }
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -21,12 +21,12 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 use crate::backend::Backend;
-use crate::control::{Ask, Control, Identity};
+use crate::control::{Control, ControlRequest, Identity};
 use crate::peer_requests::PeerRequestHandler;
 use crate::reload::{ActiveSettings, SettingsFile};
 use crate::router::Router;
-use crate::settings::Setup;
-use crate::view::Shared;
+use crate::settings::InstanceSettings;
+use crate::view::SharedState;
 
 /// Time after the start of a stop for which idle connections stay open.
 ///
@@ -57,15 +57,15 @@
 /// Adapters to callers, backend servers and the store.
 pub struct Adapters {
     /// Creates the store client, on the control thread.
-    pub store: Box<dyn FnOnce() -> Rc<dyn Collections> + Send>,
+    pub make_store: Box<dyn FnOnce() -> Rc<dyn Collections> + Send>,
     /// Decodes the contents of the store's objects.
-    pub decode: Arc<dyn DecodeContent>,
+    pub decoder: Arc<dyn DecodeContent>,
     /// Sends requests to replicas.
     pub backend: Rc<dyn Backend>,
     /// Creates the handler that parses callers' requests and writes their answers.
-    pub front: fn(Rc<Router>) -> Rc<dyn Handler>,
+    pub make_handler: fn(Rc<Router>) -> Rc<dyn Handler>,
     /// The settings file, which is reloaded on change.
-    pub settings: Box<dyn SettingsFile>,
+    pub settings_file: Box<dyn SettingsFile>,
 }
 
 impl std::fmt::Debug for Adapters {
@@ -89,46 +89,46 @@
 ///
 /// # Errors
 /// Fails if an address can't be bound, or if metrics or signal handlers can't be set up.
-pub fn run(setup: &Setup, adapters: Adapters) -> Result<(), RunError> {
+pub fn run(settings: &InstanceSettings, adapters: Adapters) -> Result<(), RunError> {
     let metrics = MetricsExporter::install(LATENCY_METRICS).map_err(RunError::Metrics)?;
-    actix_rt::System::new().block_on(serve_all(setup, adapters, metrics))
+    actix_rt::System::new().block_on(serve_all(settings, adapters, metrics))
 }
 
 async fn serve_all(
-    setup: &Setup,
+    settings: &InstanceSettings,
     adapters: Adapters,
     metrics: MetricsExporter,
 ) -> Result<(), RunError> {
-    let front = bind(setup.front_addr).await?;
-    let ready = bind(setup.ready_addr).await?;
-    let Adapters { store, decode, backend, front: make_front, settings } = adapters;
-    let shared = Arc::new(Shared::new());
+    let front = bind(settings.caller_addr).await?;
+    let ready = bind(settings.readiness_addr).await?;
+    let Adapters { make_store, decoder, backend, make_handler, settings_file } = adapters;
+    let shared = Arc::new(SharedState::new());
     log::info!(
         "event=started instance={} zone={} front={}",
-        setup.name,
-        setup.zone,
-        setup.front_addr
+        settings.name,
+        settings.zone,
+        settings.caller_addr
     );
 
-    let peer = bind(setup.peer_addr).await?;
+    let peer = bind(settings.peer_addr).await?;
     let (control, requests) = mpsc::unbounded_channel();
     let arbiter = actix_rt::Arbiter::new();
     let control_shared = Arc::clone(&shared);
     let identity = Identity {
-        name: setup.name.clone(),
-        zone: setup.zone.clone(),
-        peer_addr: setup.peer_addr,
-        seeds: setup.seeds.clone(),
-        capacity_milli: setup.capacity_milli,
-        is_first_start: setup.is_first_start,
-        has_evacuations: setup.has_evacuations,
-        heartbeat: setup.heartbeat,
+        name: settings.name.clone(),
+        zone: settings.zone.clone(),
+        peer_addr: settings.peer_addr,
+        seed_addrs: settings.seed_addrs.clone(),
+        capacity_milli: settings.capacity_milli,
+        is_bootstrap: settings.is_bootstrap,
+        is_evacuation_enabled: settings.is_evacuation_enabled,
+        heartbeat_interval: settings.heartbeat_interval,
     };
     let (reports_to_traffic, reports) = mpsc::unbounded_channel();
     let (started, start_result) = oneshot::channel();
     arbiter.spawn_fn(move || {
         actix_rt::spawn(async move {
-            let store_and_decoder = (store(), decode);
+            let store_and_decoder = (make_store(), decoder);
             let result = Control::start(
                 control_shared,
                 identity,
@@ -144,19 +144,19 @@
     let started = start_result
         .await
         .unwrap_or_else(|_| Err(io::Error::other("control thread ended during start")));
-    started.map_err(|e| RunError::Bind(setup.peer_addr, e))?;
+    started.map_err(|e| RunError::Bind(settings.peer_addr, e))?;
     let router = Router::new(
         Arc::clone(&shared),
         backend,
-        &setup.name,
-        setup.zone.as_str().into(),
-        setup.repeat_limits,
+        &settings.name,
+        settings.zone.as_str().into(),
+        settings.retry_limits,
     );
-    router.set_cold_bounds(setup.cold_bounds);
-    router.set_regions(setup.regions.clone());
+    router.set_cold_tolerance(settings.cold_tolerance);
+    router.set_regions(settings.regions.clone());
     actix_rt::spawn(Rc::clone(&router).follow_views());
-    actix_rt::spawn(Rc::clone(&router).tell_findings(control.clone()));
-    actix_rt::spawn(Rc::clone(&router).hear_findings(reports));
+    actix_rt::spawn(Rc::clone(&router).send_pending_reports(control.clone()));
+    actix_rt::spawn(Rc::clone(&router).receive_reports(reports));
     let peer_handler = Rc::new(PeerRequestHandler::new(Rc::clone(&router), control.clone()));
     actix_rt::spawn(eelgrasspier_peer::serve(peer, peer_handler));
 
@@ -166,7 +166,7 @@
     let readiness =
         Rc::new(ReadinessProbe { shared: Arc::clone(&shared), phase: phase_changes.clone() });
     actix_rt::spawn(serve(ready, readiness, until_exit.clone()));
-    if let Some(addr) = setup.metrics_addr {
+    if let Some(addr) = settings.metrics_addr {
         match bind(addr).await {
             Ok(listener) => {
                 let page = Rc::new(MetricsPage(metrics));
@@ -176,22 +176,22 @@
             Err(error) => log::error!("event=metrics_not_served cause=\"{error}\""),
         }
     }
-    let settings = ActiveSettings::new(settings, setup.clone(), Rc::clone(&router));
-    let grace = settings.grace();
+    let active_settings = ActiveSettings::new(settings_file, settings.clone(), Rc::clone(&router));
+    let grace_period = active_settings.grace_period();
     let hangup_signals = signal(SignalKind::hangup()).map_err(RunError::Signals)?;
-    actix_rt::spawn(settings.follow(hangup_signals));
+    actix_rt::spawn(active_settings.follow(hangup_signals));
     let stop = stop_signal()?;
-    let serving = actix_rt::spawn(serve(front, make_front(router), phase_changes));
+    let serving = actix_rt::spawn(serve(front, make_handler(router), phase_changes));
     stop.await;
-    let grace = grace.get().saturating_sub(GRACE_MARGIN);
-    log::info!("event=stopping grace_ms={}", grace.as_millis());
+    let grace_period = grace_period.get().saturating_sub(GRACE_MARGIN);
+    log::info!("event=stopping grace_ms={}", grace_period.as_millis());
     let stop_started = tokio::time::Instant::now();
     phase.send_replace(ShutdownPhase::Draining);
     // If the control thread has ended, there is nobody to notify.
-    let _is_disconnected = control.send(Ask::Stop).is_err();
-    tokio::time::sleep(DRAIN_TIME.min(grace / 2)).await;
+    let _is_disconnected = control.send(ControlRequest::Stop).is_err();
+    tokio::time::sleep(DRAIN_TIME.min(grace_period / 2)).await;
     phase.send_replace(ShutdownPhase::Closing);
-    let drained = tokio::time::timeout_at(stop_started + grace, serving).await;
+    let drained = tokio::time::timeout_at(stop_started + grace_period, serving).await;
     log::info!("event=stopped cut_short={}", drained.is_err());
     arbiter.stop();
     Ok(())
@@ -214,7 +214,7 @@
 
 /// Answers the load balancer's readiness probe.
 struct ReadinessProbe {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     phase: watch::Receiver<ShutdownPhase>,
 }
 
--- a/crates/router/src/gather/mod.rs
+++ b/crates/router/src/gather/mod.rs
@@ -150,8 +150,8 @@
         let (event_sender, events) = mpsc::unbounded_channel();
         let timing = Timing::new(&route_state, route.target_latency_ms);
         let shard = |service: Arc<str>| {
-            let accepted = view.accepted_connections(&service);
-            Shard::new(service, accepted)
+            let connection_limit = view.replica_connection_limit(&service);
+            Shard::new(service, connection_limit)
         };
         Self {
             router,
@@ -285,7 +285,7 @@
         let listed = self.view.replicas.get(service).map_or(&[][..], Vec::as_slice);
         let (router, current_view) = (self.router, &self.current_view);
         let is_same = Arc::ptr_eq(self.view, current_view);
-        let takes_work = move |r: &&Arc<ReplicaEntry>| is_same || current_view.lists(r);
+        let takes_work = move |r: &&Arc<ReplicaEntry>| is_same || current_view.has_replica(r);
         let homes = &self.route.home_regions;
         let is_home = move |r: &&Arc<ReplicaEntry>| router.is_home(homes, &r.zone);
         listed.iter().filter(takes_work).filter(is_home).filter(|r| !router.is_replaced(r))
--- a/crates/router/src/gather/quarantine.rs
+++ b/crates/router/src/gather/quarantine.rs
@@ -2,7 +2,7 @@
 //!
 //! Without this check each shard whose replica has crashed is sent to its other replica at once,
 //! and a request that crashes the replicas that run it takes down both replicas of each shard
-//! within milliseconds. An innocent request that ran at the same time loses as many sends and must
+//! within milliseconds. A harmless request that ran at the same time loses as many sends and must
 //! still be answered: it is tried on one replica, and the remaining shards are sent after the first
 //! answer.
 
@@ -76,7 +76,7 @@
     /// If none of many shards has answered, the cause is not a single replica, and hedging a
     /// request that crashes replicas would take down the second replica of each shard.
     pub(super) fn are_hedges_held(&self) -> bool {
-        let is_answered = self.request.learnt.is_answered.get();
+        let is_answered = self.request.progress.is_answered.get();
         let has_many = self.shards.len() >= HEDGE_HOLD_MIN_SHARDS;
         !is_answered
             && (has_many || self.is_suspect() || self.unresolved_losses() >= LOSSES_TO_HOLD)
@@ -96,7 +96,7 @@
         replica: &Arc<ReplicaEntry>,
         now_ms: u64,
     ) -> Permission {
-        if self.request.learnt.is_answered.get() {
+        if self.request.progress.is_answered.get() {
             return Permission::Now;
         }
         match self.treatment() {
@@ -169,6 +169,6 @@
 
     /// Returns the number of replicas that lost the request and are still being probed.
     fn unresolved_losses(&self) -> usize {
-        self.router.losses.borrow().pending_checks(self.request.fingerprint())
+        self.router.lost_sends.borrow().pending_checks(self.request.fingerprint())
     }
 }
--- a/crates/router/src/gather/relay.rs
+++ b/crates/router/src/gather/relay.rs
@@ -67,7 +67,7 @@
     /// since a few instances handle all requests of the zone, they know the replicas' queues.
     pub(super) fn delegate(&self) -> Option<&'a Peer> {
         let router = self.router;
-        let is_small = !self.view.is_gatherer && self.view.is_sliced(&router.zone);
+        let is_small = !self.view.is_gatherer && self.view.is_delegating(&router.zone);
         if self.shards.len() == 1 || !is_small {
             return None;
         }
@@ -141,15 +141,15 @@
         peers: &[&Peer],
     ) -> Vec<(Peer, Vec<usize>)> {
         let router = self.router;
-        let is_sliced = |zone: &str| self.view.is_sliced(zone);
+        let is_delegating = |zone: &str| self.view.is_delegating(zone);
         let zones = |index: usize| self.relay_zones(&self.shards[index], peers);
         let locations = shards.into_iter().map(|index| (index, zones(index)));
         let locations = locations.filter(|(_, zones)| !zones.is_empty()).collect();
         let tie_breaker = rand::random();
-        let min_group_size = if is_sliced(&router.zone) { 1 } else { MIN_GROUP_SHARDS };
+        let min_group_size = if is_delegating(&router.zone) { 1 } else { MIN_GROUP_SHARDS };
         let mut assigned = Vec::new();
         for group in relays::group_by_zone(locations, preferred_zone, min_group_size, tie_breaker) {
-            if is_sliced(group.zone) {
+            if is_delegating(group.zone) {
                 assigned.extend(self.split_by_owner(&group, peers));
             } else if let Some(peer) = router.best_peer(peers, group.zone, tie_breaker) {
                 assigned.push((peer.clone(), group.shards));
@@ -158,12 +158,12 @@
         assigned
     }
 
-    /// Splits the shards of a sliced zone by the instance that gathers them.
+    /// Splits the shards of a delegating zone by the instance that gathers them.
     ///
     /// The group contains no shards that this instance gathers itself.
     fn split_by_owner(&self, group: &Group<'_>, peers: &[&Peer]) -> Vec<(Peer, Vec<usize>)> {
         let zone_peers: Vec<&&Peer> = peers.iter().filter(|p| &*p.zone == group.zone).collect();
-        let gathering: Vec<Candidate> = zone_peers.iter().map(|p| p.candidate()).collect();
+        let gathering: Vec<Candidate> = zone_peers.iter().map(|p| p.gather_candidate()).collect();
         let mut split: BTreeMap<usize, Vec<usize>> = BTreeMap::new();
         for &shard in &group.shards {
             if let Some(owner) = gatherers::owner(&self.shards[shard].service, &gathering) {
@@ -179,7 +179,7 @@
         // If no replica may be used from here, the instances that rate limit the cold ones decide.
         let can_send_directly = allowed.clone().any(|r| self.may_send_directly(r));
         let replicas = allowed.filter(|r| !can_send_directly || self.may_send_directly(r));
-        if self.router.gathers(self.view, &shard.service)
+        if self.router.holds_connections_to(self.view, &shard.service)
             && replicas.clone().any(|r| r.zone == self.router.zone)
         {
             return Vec::new();
--- a/crates/router/src/gather/relay_results.rs
+++ b/crates/router/src/gather/relay_results.rs
@@ -63,7 +63,7 @@
     ) -> Vec<usize> {
         let is_pending = |i: &&usize| self.shards[**i].state == ShardState::Pending;
         let pending: Vec<usize> = shards.iter().filter(is_pending).copied().collect();
-        if !self.view.is_sliced(zone) || self.is_suspect() {
+        if !self.view.is_delegating(zone) || self.is_suspect() {
             return pending;
         }
         let mut peers = self.healthy_peers();
--- a/crates/router/src/gather/send.rs
+++ b/crates/router/src/gather/send.rs
@@ -39,8 +39,8 @@
     fn may_send_to(&self, replica: &ReplicaEntry) -> bool {
         match self.router.cold_admission(&self.current_view, replica) {
             ColdAdmission::Unlimited | ColdAdmission::CountedHere => true,
-            ColdAdmission::AskOwner(_) if self.shards.len() == 1 => true,
-            ColdAdmission::AskOwner(_) => {
+            ColdAdmission::AskCoordinator(_) if self.shards.len() == 1 => true,
+            ColdAdmission::AskCoordinator(_) => {
                 self.replicas(&replica.service).all(|r| !self.may_send_directly(r))
             }
             ColdAdmission::Denied => false,
@@ -58,14 +58,15 @@
         let cost_ms = |r: &Arc<ReplicaEntry>| {
             let needs_permission = matches!(
                 self.router.cold_admission(&self.current_view, r),
-                ColdAdmission::AskOwner(_)
+                ColdAdmission::AskCoordinator(_)
             );
             let permission_ms = if needs_permission { self.timing.target_ms } else { 0.0 };
             self.router.cost_ms(r, &self.timing, budget_used) + permission_ms
         };
         let costs: Vec<_> = self.eligible_replicas(shard).map(|r| (cost_ms(r), r)).collect();
         let has_capacity = |r: &ReplicaEntry| {
-            let max_connections = self.view.most_connections(&r.zone, shard.accepted_connections);
+            let max_connections =
+                self.view.connection_share(&r.zone, shard.replica_connection_limit);
             self.router.backend.has_capacity(&r.id, max_connections)
         };
         let free = costs.iter().filter(|(_, r)| has_capacity(r));
@@ -135,11 +136,13 @@
         self.write_flags.push(dispatched.clone());
         let attempt = Attempt {
             dispatched: dispatched.clone(),
-            max_connections: self.view.most_connections(&replica.zone, shard.accepted_connections),
+            max_connections: self
+                .view
+                .connection_share(&replica.zone, shard.replica_connection_limit),
             replica: Arc::clone(&replica),
             request: Rc::clone(self.request),
             time_left: Duration::from_millis(left_ms),
-            keep_alive: self.view.keeps_connections(),
+            keep_alive: self.view.uses_keep_alive(),
             is_idempotent: self.route.is_idempotent,
         };
         let event_sender = self.event_sender.clone();
@@ -154,8 +157,8 @@
         let send_future = Rc::clone(self.router).send(attempt, state, self.timing.typical_ms);
         self.tasks.sends.push(actix_rt::spawn(async move {
             let is_allowed = match &admission {
-                ColdAdmission::AskOwner(owner) => {
-                    router.request_cold_send(owner, &replica, &request).await
+                ColdAdmission::AskCoordinator(coordinator) => {
+                    router.request_cold_send(coordinator, &replica, &request).await
                 }
                 _ => true,
             };
--- a/crates/router/src/gather/shard.rs
+++ b/crates/router/src/gather/shard.rs
@@ -25,7 +25,7 @@
 pub(super) struct Shard {
     pub(super) service: Arc<str>,
     /// Connections that each of its replicas accepts from all instances together.
-    pub(super) accepted_connections: u32,
+    pub(super) replica_connection_limit: u32,
     /// Replicas to which this instance has sent the request.
     pub(super) tried: Vec<Arc<str>>,
     /// Number of sends that are known not to have run.
@@ -41,10 +41,10 @@
 }
 
 impl Shard {
-    pub(super) fn new(service: Arc<str>, accepted_connections: u32) -> Self {
+    pub(super) fn new(service: Arc<str>, replica_connection_limit: u32) -> Self {
         Self {
             service,
-            accepted_connections,
+            replica_connection_limit,
             tried: Vec::new(),
             not_run: 0,
             allowed: None,
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -28,9 +28,9 @@
 
 pub use backend::{Attempt, Backend, BackendFuture, Reply};
 pub use daemon::{Adapters, RunError, run};
-pub use log_output::{finish_log, log_to_stdout};
-pub use model::{Learnt, Merged, Outcome, Request};
+pub use log_output::{flush_log, init_stdout_log};
+pub use model::{Merged, Outcome, Request, RequestProgress};
 pub use reload::SettingsFile;
 pub use router::Router;
-pub use settings::Setup;
-pub use view::{Peer, Replicas, Shared, View};
+pub use settings::InstanceSettings;
+pub use view::{Peer, ReplicasByService, SharedState, View};
--- a/crates/router/src/log_output.rs
+++ b/crates/router/src/log_output.rs
@@ -46,7 +46,7 @@
 ///
 /// The writer thread ends with the process. Without this wait the last lines of a planned stop were
 /// lost.
-pub fn finish_log() {
+pub fn flush_log() {
     const CHECK_INTERVAL: Duration = Duration::from_millis(2);
     let started_at = Instant::now();
     while PENDING_LINES.load(Ordering::Acquire) > 0 && started_at.elapsed() < FLUSH_TIMEOUT {
@@ -55,7 +55,7 @@
 }
 
 /// Starts logging to standard output, one structured line for each event.
-pub fn log_to_stdout() {
+pub fn init_stdout_log() {
     let (sender, lines) = sync_channel::<Vec<u8>>(MAX_QUEUED_LINES);
     let write_all = move || {
         let mut out = io::stdout().lock();
--- a/crates/router/src/model.rs
+++ b/crates/router/src/model.rs
@@ -33,12 +33,12 @@
     /// Time that the caller waits, in milliseconds; `None` if unspecified.
     pub deadline_ms: Option<u64>,
     /// State gathered while the request is served.
-    pub learnt: Learnt,
+    pub progress: RequestProgress,
 }
 
 /// State gathered while a request is served.
 #[derive(Debug, Default)]
-pub struct Learnt {
+pub struct RequestProgress {
     fingerprint: OnceCell<Fingerprint>,
     /// True if a replica has answered the request, with any status.
     ///
@@ -64,7 +64,7 @@
             self.path.as_str().as_bytes(),
             &self.body,
         ];
-        *self.learnt.fingerprint.get_or_init(|| Fingerprint::of(&parts))
+        *self.progress.fingerprint.get_or_init(|| Fingerprint::of(&parts))
     }
 }
 
--- a/crates/router/src/peer_requests.rs
+++ b/crates/router/src/peer_requests.rs
@@ -12,13 +12,13 @@
 use prost::Message;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::control::Ask;
+use crate::control::ControlRequest;
 use crate::router::Router;
 
 /// Handler of requests from other instances.
 pub(crate) struct PeerRequestHandler {
     pub(crate) router: Rc<Router>,
-    pub(crate) control: mpsc::UnboundedSender<Ask>,
+    pub(crate) control: mpsc::UnboundedSender<ControlRequest>,
     /// The last compressed answer of each kind.
     compressed_answers: RefCell<HashMap<CollectionKind, CachedAnswer>>,
 }
@@ -42,13 +42,13 @@
 }
 
 impl PeerRequestHandler {
-    pub(crate) fn new(router: Rc<Router>, control: mpsc::UnboundedSender<Ask>) -> Self {
+    pub(crate) fn new(router: Rc<Router>, control: mpsc::UnboundedSender<ControlRequest>) -> Self {
         Self { router, control, compressed_answers: RefCell::default() }
     }
 
     async fn changes(&self, kind: CollectionKind, after: Position) -> Body {
         let (reply, changes) = oneshot::channel();
-        let request = Ask::Changes { kind, after, reply };
+        let request = ControlRequest::Changes { kind, after, reply };
         if self.control.send(request).is_err() {
             return Body::Refused("control has ended".to_owned());
         }
@@ -61,7 +61,7 @@
     /// Returns the records of all members that this instance knows.
     async fn members(&self) -> Body {
         let (reply, members) = oneshot::channel();
-        if self.control.send(Ask::Members { reply }).is_err() {
+        if self.control.send(ControlRequest::Members { reply }).is_err() {
             return Body::Refused("control has ended".to_owned());
         }
         match members.await {
@@ -116,7 +116,7 @@
                 Body::MembersAsk(_) => self.members().await,
                 Body::Gather(request) => Body::Gathered(self.router.gather_for_peer(request).await),
                 Body::ColdSend(request) => {
-                    Body::ColdSendAllowed(self.router.allow_cold_send(&request))
+                    Body::ColdSendAllowed(self.router.grant_cold_send(&request))
                 }
                 Body::Alive(empty) => Body::Alive(empty),
                 _ => Body::Refused("not a question for a router".to_owned()),
--- a/crates/router/src/preconnect.rs
+++ b/crates/router/src/preconnect.rs
@@ -18,14 +18,15 @@
             let entries = || view.replicas.values().flatten();
             let ids: HashSet<Arc<str>> = entries().map(|e| Arc::clone(&e.id)).collect();
             self.backend.retain(&ids);
-            self.tidy_cold();
+            self.prune_cold_sends();
             let peers: HashSet<Arc<str>> = view.peers.iter().map(|p| peer_key(&p.name)).collect();
             self.replica_stats.borrow_mut().retain(|id, _| ids.contains(id) || peers.contains(id));
             if view.configuration.is_some() {
                 // Replicas of other zones are reached through their zones' instances, except for
                 // occasional hedges.
-                let is_connected_directly =
-                    |e: &Arc<ReplicaEntry>| e.zone == self.zone && self.gathers(&view, &e.service);
+                let is_connected_directly = |e: &Arc<ReplicaEntry>| {
+                    e.zone == self.zone && self.holds_connections_to(&view, &e.service)
+                };
                 let is_new =
                     |e: &&Arc<ReplicaEntry>| !connected.contains(&e.id) && is_connected_directly(e);
                 for entry in entries().filter(is_new) {
@@ -39,7 +40,7 @@
 
     fn preconnect(&self, view: &View, entry: &Arc<ReplicaEntry>) {
         let max_connections =
-            view.most_connections(&entry.zone, view.accepted_connections(&entry.service));
+            view.connection_share(&entry.zone, view.replica_connection_limit(&entry.service));
         let preconnecting = self.backend.preconnect(Arc::clone(entry), max_connections);
         let id = Arc::clone(&entry.id);
         actix_rt::spawn(async move {
--- a/crates/router/src/quarantine_state.rs
+++ b/crates/router/src/quarantine_state.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-use crate::control::Ask;
+use crate::control::ControlRequest;
 use crate::model::Request;
 use crate::router::Router;
 
@@ -24,7 +24,7 @@
 
 /// Requests during which replicas have crashed.
 #[derive(Debug, Default)]
-pub(crate) struct Suspects {
+pub(crate) struct QuarantineState {
     quarantine: RefCell<Quarantine>,
     /// Requests whose latest findings have not been reported yet.
     pending_reports: RefCell<BTreeSet<Fingerprint>>,
@@ -39,39 +39,43 @@
 impl Router {
     /// Returns how a request is treated.
     pub(crate) fn treatment(&self, fingerprint: Fingerprint) -> Treatment {
-        self.suspects.quarantine.borrow().treatment(fingerprint, self.shared.now_ms())
+        self.quarantine_state.quarantine.borrow().treatment(fingerprint, self.shared.now_ms())
     }
 
     /// Returns the findings on a request, to be sent along with it to another instance.
     pub(crate) fn report_on(&self, fingerprint: Fingerprint) -> Option<Report> {
-        self.suspects.quarantine.borrow().report(fingerprint, self.shared.now_ms())
+        self.quarantine_state.quarantine.borrow().report(fingerprint, self.shared.now_ms())
     }
 
     /// Records that a replica has answered a request.
     pub(crate) fn record_answered(&self, request: &Request) {
-        if request.learnt.is_answered.replace(true) {
+        if request.progress.is_answered.replace(true) {
             return;
         }
         let fingerprint = request.fingerprint();
-        self.losses.borrow_mut().discard_answered(fingerprint);
+        self.lost_sends.borrow_mut().discard_answered(fingerprint);
         let now_ms = self.shared.now_ms();
-        let finding = self.suspects.quarantine.borrow_mut().record_answer(fingerprint, now_ms);
+        let finding =
+            self.quarantine_state.quarantine.borrow_mut().record_answer(fingerprint, now_ms);
         self.publish_finding(fingerprint, finding);
     }
 
     /// Records that a replica has crashed while it ran a request.
-    pub(crate) fn record_crash(&self, ended: CrashedSend) {
+    pub(crate) fn record_crash(&self, crashed: CrashedSend) {
         let now_ms = self.shared.now_ms();
-        let finding = self.suspects.quarantine.borrow_mut().record_crash(ended, now_ms);
-        self.publish_finding(ended.request, finding);
+        let finding = self.quarantine_state.quarantine.borrow_mut().record_crash(crashed, now_ms);
+        self.publish_finding(crashed.request, finding);
     }
 
     /// Merges reports of other instances; `source` names the channel for the log.
     pub(crate) fn merge_reports(&self, reports: &[Report], source: &str) {
         for report in reports {
             let fingerprint = Fingerprint(report.fingerprint);
-            let finding =
-                self.suspects.quarantine.borrow_mut().merge_report(report, self.shared.now_ms());
+            let finding = self
+                .quarantine_state
+                .quarantine
+                .borrow_mut()
+                .merge_report(report, self.shared.now_ms());
             self.log_finding(fingerprint, finding, source);
         }
     }
@@ -86,11 +90,11 @@
         max_ms: u64,
     ) -> bool {
         let (fingerprint, now_ms) = (request.fingerprint(), self.shared.now_ms());
-        let mut quarantine = self.suspects.quarantine.borrow_mut();
+        let mut quarantine = self.quarantine_state.quarantine.borrow_mut();
         if !quarantine.begin_trial(fingerprint, now_ms, max_ms) {
             return false;
         }
-        request.learnt.isolated_trials.borrow_mut().push(Arc::clone(&replica.id));
+        request.progress.isolated_trials.borrow_mut().push(Arc::clone(&replica.id));
         let id = request.id_text();
         metrics::counter!("eelgrasspier_trials_total").increment(1);
         log::info!("event=tried_alone id={id} fingerprint={fingerprint} replica={}", replica.id);
@@ -99,8 +103,8 @@
 
     /// Ends the isolated trial, if the send was one.
     pub(crate) fn end_trial(&self, request: &Request, replica: &ReplicaEntry) {
-        if request.learnt.isolated_trials.borrow().contains(&replica.id) {
-            self.suspects.quarantine.borrow_mut().end_trial(request.fingerprint());
+        if request.progress.isolated_trials.borrow().contains(&replica.id) {
+            self.quarantine_state.quarantine.borrow_mut().end_trial(request.fingerprint());
         }
     }
 
@@ -108,11 +112,11 @@
     fn publish_finding(&self, fingerprint: Fingerprint, finding: EvidenceEffect) {
         self.log_finding(fingerprint, finding, "own");
         if matches!(finding, EvidenceEffect::Suspected | EvidenceEffect::Refused) {
-            self.suspects.is_urgent.set(true);
+            self.quarantine_state.is_urgent.set(true);
         }
         if finding != EvidenceEffect::Unchanged {
-            self.suspects.pending_reports.borrow_mut().insert(fingerprint);
-            self.suspects.report_notify.notify_one();
+            self.quarantine_state.pending_reports.borrow_mut().insert(fingerprint);
+            self.quarantine_state.report_notify.notify_one();
         }
     }
 
@@ -136,32 +140,37 @@
     }
 
     fn tracked_count(&self) -> f64 {
-        let count = self.suspects.quarantine.borrow().len();
+        let count = self.quarantine_state.quarantine.borrow().len();
         f64::from(u32::try_from(count).unwrap_or(u32::MAX))
     }
 
     /// Sends local findings to the control thread until its channel closes.
-    pub(crate) async fn tell_findings(self: Rc<Self>, control: mpsc::UnboundedSender<Ask>) {
+    pub(crate) async fn send_pending_reports(
+        self: Rc<Self>,
+        control: mpsc::UnboundedSender<ControlRequest>,
+    ) {
         loop {
-            self.suspects.report_notify.notified().await;
+            self.quarantine_state.report_notify.notified().await;
             let until = Instant::now() + REPORT_DELAY;
-            while !self.suspects.is_urgent.get() {
-                let more = tokio::time::timeout_at(until, self.suspects.report_notify.notified());
+            while !self.quarantine_state.is_urgent.get() {
+                let more =
+                    tokio::time::timeout_at(until, self.quarantine_state.report_notify.notified());
                 if more.await.is_err() {
                     break;
                 }
             }
-            self.suspects.is_urgent.set(false);
-            let pending_reports = std::mem::take(&mut *self.suspects.pending_reports.borrow_mut());
+            self.quarantine_state.is_urgent.set(false);
+            let pending_reports =
+                std::mem::take(&mut *self.quarantine_state.pending_reports.borrow_mut());
             let reports = pending_reports.into_iter().filter_map(|f| self.report_on(f)).collect();
-            if control.send(Ask::Tell(reports)).is_err() {
+            if control.send(ControlRequest::PublishReports(reports)).is_err() {
                 return;
             }
         }
     }
 
     /// Merges reports of other instances, received by the control thread, until its channel closes.
-    pub(crate) async fn hear_findings(
+    pub(crate) async fn receive_reports(
         self: Rc<Self>,
         mut reports_rx: mpsc::UnboundedReceiver<Vec<Report>>,
     ) {
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -16,10 +16,10 @@
 use tokio::time::Instant;
 
 use crate::gather::{Deadlines, Gather, Gathered, Requester};
-use crate::model::{Learnt, Request};
+use crate::model::{Request, RequestProgress};
 use crate::route_state::RouteState;
 use crate::router::{InFlightGuard, PEER_SLOTS, Router, UNHEALTHY_PEER_COST, peer_key};
-use crate::traffic_metrics::{self, Cause};
+use crate::traffic_metrics::{self, TrafficCause};
 use crate::view::{Peer, View};
 
 /// Time after which a connection without a response is closed.
@@ -30,14 +30,14 @@
 
 impl Router {
     /// True if this instance holds connections to the replicas of a service in its own zone.
-    pub(crate) fn gathers(&self, view: &View, service: &str) -> bool {
-        if !view.is_gatherer || !view.is_sliced(&self.zone) {
+    pub(crate) fn holds_connections_to(&self, view: &View, service: &str) -> bool {
+        if !view.is_gatherer || !view.is_delegating(&self.zone) {
             return view.is_gatherer;
         }
         let zone_peers = view.gatherers.iter().filter(|p| p.zone == self.zone);
         let own = Candidate { key: self.key, capacity_milli: view.capacity_milli };
         let all: Vec<Candidate> =
-            std::iter::once(own).chain(zone_peers.map(Peer::candidate)).collect();
+            std::iter::once(own).chain(zone_peers.map(Peer::gather_candidate)).collect();
         gatherers::owner(service, &all) == Some(0)
     }
 
@@ -84,7 +84,7 @@
         let started = Instant::now();
         let guard = InFlightGuard::start(&replica_stats, self.shared.now_ms(), typical_ms);
         let is_cross_zone = peer.zone != self.zone;
-        traffic_metrics::count(Cause::Gather, is_cross_zone, peer_request.encoded_len());
+        traffic_metrics::count(TrafficCause::Gather, is_cross_zone, peer_request.encoded_len());
         let result = self
             .peer_connections
             .request_with_callback(peer.addr, peer_request, time_left, || dispatched.set())
@@ -94,7 +94,7 @@
         metrics::histogram!("eelgrasspier_relay_seconds").record(took.as_secs_f64());
         match result {
             Ok(Body::Gathered(answer)) => {
-                traffic_metrics::count(Cause::Gather, is_cross_zone, answer.encoded_len());
+                traffic_metrics::count(TrafficCause::Gather, is_cross_zone, answer.encoded_len());
                 let took_ms = took.as_secs_f64() * 1000.0;
                 replica_stats.borrow_mut().record_answer(took_ms, typical_ms, self.shared.now_ms());
                 state.record_relay(took);
@@ -227,7 +227,7 @@
         body: peer_request.body,
         arrived: Instant::now(),
         deadline_ms: Some(peer_request.time_left_ms),
-        learnt: Learnt::default(),
+        progress: RequestProgress::default(),
     })
 }
 
--- a/crates/router/src/reload.rs
+++ b/crates/router/src/reload.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, SystemTime};
 
 use crate::router::Router;
-use crate::settings::Setup;
+use crate::settings::InstanceSettings;
 
 /// Interval between checks of the file, which may change without a signal.
 ///
@@ -19,37 +19,41 @@
 /// The settings file.
 pub trait SettingsFile {
     /// Returns the time of the last change; `None` if it is not available.
-    fn changed_at(&self) -> Option<SystemTime>;
+    fn modified_at(&self) -> Option<SystemTime>;
 
     /// Reads and validates the settings.
     ///
     /// # Errors
     /// Fails with one line that names the invalid field.
-    fn read(&self) -> Result<Setup, String>;
+    fn read(&self) -> Result<InstanceSettings, String>;
 }
 
 /// The settings in force.
 pub(crate) struct ActiveSettings {
     file: Box<dyn SettingsFile>,
-    setup: Setup,
+    settings: InstanceSettings,
     router: Rc<Router>,
-    grace: Rc<Cell<Duration>>,
+    grace_period: Rc<Cell<Duration>>,
 }
 
 impl ActiveSettings {
-    pub(crate) fn new(file: Box<dyn SettingsFile>, setup: Setup, router: Rc<Router>) -> Self {
-        let grace = Rc::new(Cell::new(setup.grace));
-        Self { file, setup, router, grace }
+    pub(crate) fn new(
+        file: Box<dyn SettingsFile>,
+        settings: InstanceSettings,
+        router: Rc<Router>,
+    ) -> Self {
+        let grace_period = Rc::new(Cell::new(settings.grace_period));
+        Self { file, settings, router, grace_period }
     }
 
     /// Returns the current time between the stop signal and the kill.
-    pub(crate) fn grace(&self) -> Rc<Cell<Duration>> {
-        Rc::clone(&self.grace)
+    pub(crate) fn grace_period(&self) -> Rc<Cell<Duration>> {
+        Rc::clone(&self.grace_period)
     }
 
     /// Reloads the settings after each signal and each change of the file.
     pub(crate) async fn follow(mut self, mut hangup_signals: tokio::signal::unix::Signal) {
-        let mut last_changed_at = self.file.changed_at();
+        let mut last_modified_at = self.file.modified_at();
         loop {
             let signal = tokio::time::timeout(CHECK_INTERVAL, hangup_signals.recv()).await;
             let cause = match signal {
@@ -61,41 +65,41 @@
                 }
                 Err(_) => "look",
             };
-            let changed_at = self.file.changed_at();
-            if cause == "signal" || changed_at != last_changed_at {
-                last_changed_at = changed_at;
+            let modified_at = self.file.modified_at();
+            if cause == "signal" || modified_at != last_modified_at {
+                last_modified_at = modified_at;
                 self.reload(cause);
             }
         }
     }
 
     fn reload(&mut self, cause: &str) {
-        let setup = match self.file.read() {
-            Ok(setup) => setup,
+        let settings = match self.file.read() {
+            Ok(settings) => settings,
             Err(error) => {
                 log::error!("event=settings_unusable cause=\"{error}\"");
                 return;
             }
         };
-        let needs_restart = self.has_fixed_changes(&setup);
-        let limits = setup.repeat_limits;
+        let needs_restart = self.has_fixed_changes(&settings);
+        let limits = settings.retry_limits;
         log::info!(
             "event=reload cause={cause} repeats_ratio_milli={} repeats_slack={} grace_ms={} \
              needs_restart={needs_restart}",
             limits.ratio_milli,
             limits.slack,
-            setup.grace.as_millis()
+            settings.grace_period.as_millis()
         );
-        self.router.set_repeat_limits(limits);
-        self.router.set_cold_bounds(setup.cold_bounds);
-        self.router.set_regions(setup.regions);
-        self.grace.set(setup.grace);
+        self.router.set_retry_limits(limits);
+        self.router.set_cold_tolerance(settings.cold_tolerance);
+        self.router.set_regions(settings.regions);
+        self.grace_period.set(settings.grace_period);
     }
 
     /// True if a value differs that is fixed for the life of a process.
-    fn has_fixed_changes(&self, new: &Setup) -> bool {
-        let current = &self.setup;
-        let addrs = |s: &Setup| [s.front_addr, s.ready_addr, s.peer_addr];
+    fn has_fixed_changes(&self, new: &InstanceSettings) -> bool {
+        let current = &self.settings;
+        let addrs = |s: &InstanceSettings| [s.caller_addr, s.readiness_addr, s.peer_addr];
         (&current.name, &current.zone, addrs(current)) != (&new.name, &new.zone, addrs(new))
     }
 }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -24,10 +24,10 @@
 use crate::gather::{Deadlines, Gather, Requester};
 use crate::model::{Outcome, Request};
 use crate::outcome::{merged_outcome, record_outcome, single_outcome};
-use crate::quarantine_state::Suspects;
+use crate::quarantine_state::QuarantineState;
 use crate::route_state::{RouteState, Timing};
-use crate::traffic_metrics::{self, Cause};
-use crate::view::{Shared, View};
+use crate::traffic_metrics::{self, TrafficCause};
+use crate::view::{SharedState, View};
 
 /// Minimum retry delay sent to callers while no configuration is loaded.
 ///
@@ -58,7 +58,7 @@
 
 /// State of the traffic thread.
 pub struct Router {
-    pub(crate) shared: Arc<Shared>,
+    pub(crate) shared: Arc<SharedState>,
     pub(crate) backend: Rc<dyn Backend>,
     pub(crate) zone: Arc<str>,
     /// Hash of this instance's name for rendezvous hashing.
@@ -70,9 +70,9 @@
     pub(crate) slow_until_ms: RefCell<HashMap<u32, u64>>,
     retry_budgets: RefCell<NameMap<RetryBudget>>,
     routes: RefCell<HashMap<Arc<str>, Rc<RouteState>>>,
-    pub(crate) losses: RefCell<LostSends>,
-    pub(crate) suspects: Suspects,
-    pub(crate) cold: ColdLimiter,
+    pub(crate) lost_sends: RefCell<LostSends>,
+    pub(crate) quarantine_state: QuarantineState,
+    pub(crate) cold_limiter: ColdLimiter,
     regions: RefCell<Regions>,
 }
 
@@ -86,7 +86,7 @@
     /// Creates the traffic thread's state for the instance `name` in the availability zone `zone`.
     #[must_use]
     pub fn new(
-        shared: Arc<Shared>,
+        shared: Arc<SharedState>,
         backend: Rc<dyn Backend>,
         name: &str,
         zone: Arc<str>,
@@ -104,9 +104,9 @@
             slow_until_ms: RefCell::default(),
             retry_budgets: RefCell::default(),
             routes: RefCell::default(),
-            losses: RefCell::default(),
-            suspects: Suspects::default(),
-            cold: ColdLimiter::default(),
+            lost_sends: RefCell::default(),
+            quarantine_state: QuarantineState::default(),
+            cold_limiter: ColdLimiter::default(),
             regions: RefCell::default(),
         })
     }
@@ -141,7 +141,7 @@
                 (self.shared.now_ms() / 2).clamp(MIN_NOT_READY_RETRY_MS, MAX_NOT_READY_RETRY_MS);
             return Err(Refusal::not_run(RefusalReason::NotReady, Some(retry_after_ms)));
         }
-        let found = view.table.find(&request.host, request.path.path());
+        let found = view.route_table.find(&request.host, request.path.path());
         let path = || format!("{}{}", request.host, request.path.path());
         found.cloned().ok_or_else(|| Refusal::not_run(RefusalReason::UnknownRoute(path()), None))
     }
@@ -225,7 +225,7 @@
     }
 
     /// Replaces the retry budget limits.
-    pub(crate) fn set_repeat_limits(&self, limits: RetryLimits) {
+    pub(crate) fn set_retry_limits(&self, limits: RetryLimits) {
         self.limits.set(limits);
     }
 
@@ -253,7 +253,7 @@
         let mut retry_budgets = self.retry_budgets.borrow_mut();
         let retry_budget = retry_budgets.entry(Arc::clone(service)).or_default();
         let is_budget_low =
-            retry_budget.is_half_spent(&self.limits.get(), view.slack_sharers, now_ms);
+            retry_budget.is_half_spent(&self.limits.get(), view.retry_slack_divisor, now_ms);
         wait_ms
             + if is_budget_low { timing.low_budget_hedge_delay_ms } else { timing.hedge_delay_ms }
     }
@@ -263,7 +263,7 @@
         let now_ms = self.shared.now_ms();
         let mut retry_budgets = self.retry_budgets.borrow_mut();
         let retry_budget = retry_budgets.entry(Arc::clone(service)).or_default();
-        retry_budget.try_take(&self.limits.get(), view.slack_sharers, now_ms)
+        retry_budget.try_take(&self.limits.get(), view.retry_slack_divisor, now_ms)
     }
 
     /// Returns the expected latency of one more request, in milliseconds.
@@ -283,7 +283,7 @@
         let now_ms = self.shared.now_ms();
         let mut retry_budgets = self.retry_budgets.borrow_mut();
         let retry_budget = retry_budgets.entry(Arc::clone(service)).or_default();
-        retry_budget.spent_fraction(&self.limits.get(), view.slack_sharers, now_ms)
+        retry_budget.spent_fraction(&self.limits.get(), view.retry_slack_divisor, now_ms)
     }
 
     /// Estimates the latency of one more request to `replica`.
@@ -320,7 +320,7 @@
             replica_stats.borrow_mut().record_sent_work(work_ms, replica.slots, sent_ms);
         let guard = InFlightGuard { stats: Rc::clone(&replica_stats), sent_ms };
         let is_cross_zone = replica.zone != self.zone;
-        traffic_metrics::count(Cause::Replica, is_cross_zone, attempt.request.body.len());
+        traffic_metrics::count(TrafficCause::Replica, is_cross_zone, attempt.request.body.len());
         let result = self.backend.send(attempt).await;
         drop(guard);
         self.end_trial(&request, &replica);
@@ -331,7 +331,7 @@
         match &result {
             Ok(reply) => {
                 self.record_answered(&request);
-                traffic_metrics::count(Cause::Replica, is_cross_zone, reply.body.len());
+                traffic_metrics::count(TrafficCause::Replica, is_cross_zone, reply.body.len());
                 // The reported load includes the request that was just answered.
                 replica_stats
                     .record_reported_load(reply.load.unwrap_or(0).saturating_sub(1), now_ms);
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -9,35 +9,35 @@
 
 /// The validated settings of one instance.
 #[derive(Debug, Clone)]
-pub struct Setup {
+pub struct InstanceSettings {
     /// Name of the instance.
     pub name: String,
     /// Its availability zone.
     pub zone: String,
     /// Address at which callers connect.
-    pub front_addr: SocketAddr,
+    pub caller_addr: SocketAddr,
     /// Address of the load balancer's readiness probe.
-    pub ready_addr: SocketAddr,
+    pub readiness_addr: SocketAddr,
     /// Address at which other instances connect.
     pub peer_addr: SocketAddr,
     /// Addresses of some other instances; they may be stale.
-    pub seeds: Vec<SocketAddr>,
+    pub seed_addrs: Vec<SocketAddr>,
     /// Its CPU capacity, in thousandths of a core.
     pub capacity_milli: u32,
     /// True if the whole system starts for the first time.
-    pub is_first_start: bool,
+    pub is_bootstrap: bool,
     /// Address at which metrics are served.
     pub metrics_addr: Option<SocketAddr>,
     /// Limits on retries by all instances together.
-    pub repeat_limits: RetryLimits,
+    pub retry_limits: RetryLimits,
     /// Interval between reports of a replica to the store.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Time from the stop signal to the kill.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// The region of each availability zone.
     pub regions: Regions,
     /// True if operators evacuate availability zones by entries in the store.
-    pub has_evacuations: bool,
+    pub is_evacuation_enabled: bool,
     /// What cold replicas may receive beyond their rate.
-    pub cold_bounds: ColdTolerance,
+    pub cold_tolerance: ColdTolerance,
 }
--- a/crates/router/src/traffic_metrics.rs
+++ b/crates/router/src/traffic_metrics.rs
@@ -5,7 +5,7 @@
 
 /// Cause of traffic.
 #[derive(Debug, Clone, Copy)]
-pub(crate) enum Cause {
+pub(crate) enum TrafficCause {
     /// Membership datagrams.
     Gossip,
     /// Relay requests between instances for callers' requests, and the answers.
@@ -18,7 +18,7 @@
     Replica,
 }
 
-impl Cause {
+impl TrafficCause {
     fn label(self) -> &'static str {
         match self {
             Self::Gossip => "gossip",
@@ -31,7 +31,7 @@
 }
 
 /// Adds `bytes` to the counter of the cause.
-pub(crate) fn count(cause: Cause, is_cross_zone: bool, bytes: usize) {
+pub(crate) fn count(cause: TrafficCause, is_cross_zone: bool, bytes: usize) {
     let zone = if is_cross_zone { "other" } else { "own" };
     let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
     metrics::counter!("eelgrasspier_zone_bytes_total", "cause" => cause.label(), "zone" => zone)
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -34,14 +34,14 @@
 impl Peer {
     /// Returns the instance as a candidate for gathering.
     #[must_use]
-    pub fn candidate(&self) -> Candidate {
+    pub fn gather_candidate(&self) -> Candidate {
         let key = rendezvous::hash(&self.name);
         Candidate { key, capacity_milli: self.capacity_milli }
     }
 }
 
 /// Replicas that accept new requests, by service.
-pub type Replicas = HashMap<Arc<str>, Vec<Arc<ReplicaEntry>>>;
+pub type ReplicasByService = HashMap<Arc<str>, Vec<Arc<ReplicaEntry>>>;
 
 /// A consistent snapshot of the control state.
 #[derive(Debug, Clone, Default)]
@@ -49,15 +49,15 @@
     /// The configuration in force; `None` before the first one.
     pub configuration: Option<Arc<Configuration>>,
     /// The routes of the configuration.
-    pub table: Arc<RouteTable>,
+    pub route_table: Arc<RouteTable>,
     /// Replicas that accept new requests, by service.
-    pub replicas: Arc<Replicas>,
+    pub replicas: Arc<ReplicasByService>,
     /// True once the replicas, and the evacuations if used, have been read and confirmed.
-    pub has_replicas: bool,
+    pub has_confirmed_replicas: bool,
     /// Number of instances that share connections and retries, this one included.
-    pub instances: u64,
+    pub instance_count: u64,
     /// Fleet size by the store's entries or the member table, whichever is larger.
-    pub fleet: u64,
+    pub fleet_size: u64,
     /// True if this instance holds connections to its zone's replicas.
     pub is_gatherer: bool,
     /// CPU capacity of this instance, in thousandths of a core.
@@ -71,19 +71,19 @@
     /// Zones in which only some instances gather, for the others too.
     pub delegating_zones: HashSet<Arc<str>>,
     /// Number of instances among which the retry slack is divided.
-    pub slack_sharers: u64,
+    pub retry_slack_divisor: u64,
     /// Time until which each rate-limited replica is cold, in milliseconds.
     pub cold_until_ms: Arc<HashMap<Arc<str>, u64>>,
     /// Time since which the gathering instances of each zone are unchanged.
     ///
     /// They count the sends to the cold replicas of the zone.
-    pub settled: Arc<CoordinatorStability>,
+    pub gatherer_stability: Arc<CoordinatorStability>,
 }
 
 impl View {
     /// True if only some instances of the zone gather, for the others too.
     #[must_use]
-    pub fn is_sliced(&self, zone: &str) -> bool {
+    pub fn is_delegating(&self, zone: &str) -> bool {
         self.delegating_zones.contains(zone)
     }
 
@@ -93,7 +93,7 @@
     /// twentieth of the traffic thread's instructions at 40 shards. Counting all instances for each
     /// shard would grow with the product of fleet size and shards.
     #[must_use]
-    pub fn share_out(mut self, own_zone: &str) -> Self {
+    pub fn with_derived_fields(mut self, own_zone: &str) -> Self {
         self.gatherers = self.peers.iter().filter(|p| p.is_gatherer).cloned().collect();
         let non_gathering_zones =
             self.peers.iter().filter(|p| !p.is_gatherer).map(|p| Arc::clone(&p.zone));
@@ -102,8 +102,8 @@
             self.delegating_zones.insert(own_zone.into());
         }
         let gatherers = u64::try_from(self.gatherers.len()).unwrap_or(u64::MAX);
-        self.slack_sharers =
-            retry_budget::slack_divisor(self.instances, gatherers, self.is_gatherer);
+        self.retry_slack_divisor =
+            retry_budget::slack_divisor(self.instance_count, gatherers, self.is_gatherer);
         let mut zones: Vec<&Arc<str>> = self.replicas.values().flatten().map(|r| &r.zone).collect();
         zones.sort_unstable();
         zones.dedup();
@@ -120,10 +120,10 @@
         let known = to_u32(self.peers.len()) + 1;
         MembershipView {
             is_same_zone: zone == own_zone && self.is_gatherer,
-            has_delegating_instances: self.is_sliced(zone),
+            has_delegating_instances: self.is_delegating(zone),
             same_zone_gatherers,
             other_zone_gatherers: to_u32(self.gatherers.len()) - same_zone_gatherers,
-            unknown_instances: u32::try_from(self.instances)
+            unknown_instances: u32::try_from(self.instance_count)
                 .unwrap_or(u32::MAX)
                 .saturating_sub(known),
         }
@@ -131,7 +131,7 @@
 
     /// Returns this instance's share of the `all` connections that a replica in `zone` accepts.
     #[must_use]
-    pub fn most_connections(&self, zone: &str, all: u32) -> u32 {
+    pub fn connection_share(&self, zone: &str, all: u32) -> u32 {
         let part = self.connection_shares.iter().find(|(name, _)| **name == *zone);
         part.map_or(MIN_CONNECTIONS, |(_, part)| part.connections(all))
     }
@@ -143,20 +143,20 @@
     /// replica's limit: 195 where it accepts 120. The replica reset 1,195 connections in the seconds
     /// after a power loss, when connections of the lost instances still counted.
     #[must_use]
-    pub fn keeps_connections(&self) -> bool {
+    pub fn uses_keep_alive(&self) -> bool {
         self.is_gatherer
     }
 
     /// Returns the connections that each replica of a service accepts from all instances together.
     #[must_use]
-    pub fn accepted_connections(&self, service: &str) -> u32 {
+    pub fn replica_connection_limit(&self, service: &str) -> u32 {
         let limits = self.configuration.as_ref().and_then(|c| c.services.get(service));
         limits.map_or(MIN_CONNECTIONS, |l| l.max_connections)
     }
 
     /// True if a replica accepts new requests.
     #[must_use]
-    pub fn lists(&self, replica: &ReplicaEntry) -> bool {
+    pub fn has_replica(&self, replica: &ReplicaEntry) -> bool {
         let listed = self.replicas.get(&replica.service);
         listed.is_some_and(|all| all.iter().any(|r| r.id == replica.id))
     }
@@ -164,13 +164,13 @@
     /// True if callers can be served.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.configuration.is_some() && self.has_replicas
+        self.configuration.is_some() && self.has_confirmed_replicas
     }
 }
 
 /// State shared by the threads of one process.
 #[derive(Debug)]
-pub struct Shared {
+pub struct SharedState {
     /// The latest view.
     pub view: ArcSwap<View>,
     /// Signalled when a new view is published.
@@ -180,13 +180,13 @@
     started: Instant,
 }
 
-impl Default for Shared {
+impl Default for SharedState {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Shared {
+impl SharedState {
     /// Creates the state with an empty view.
     #[must_use]
     pub fn new() -> Self {
@@ -204,7 +204,7 @@
     }
 
     /// Returns the time of the last message from another instance, in milliseconds, if any.
-    pub(crate) fn heard_ms(&self) -> Option<u64> {
+    pub(crate) fn last_contact_ms(&self) -> Option<u64> {
         Some(self.last_contact_ms.load(Ordering::Relaxed)).filter(|&contact_ms| contact_ms > 0)
     }
 
--- a/crates/router/tests/cold_sends.rs
+++ b/crates/router/tests/cold_sends.rs
@@ -72,11 +72,11 @@
     let world = World::new(route.clone(), services);
     let mut new_view = view(route, services);
     new_view.is_gatherer = false;
-    new_view.instances = 3;
+    new_view.instance_count = 3;
     new_view.peers = Arc::new(vec![peer]);
     let until_ms = 600_000;
     new_view.cold_until_ms = Arc::new(cold.iter().map(|id| (Arc::from(*id), until_ms)).collect());
-    world.shared.publish(new_view.share_out("z1"));
+    world.shared.publish(new_view.with_derived_fields("z1"));
     world
 }
 
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -14,8 +14,10 @@
 use eelgrasspier_decide::history::Edition;
 use eelgrasspier_decide::retry_budget::RetryLimits;
 use eelgrasspier_decide::route::{Configuration, Route, RouteTable, ServiceLimits, Target};
-use eelgrasspier_router::{Attempt, Backend, BackendFuture, Learnt, Outcome, Reply, Request};
-use eelgrasspier_router::{Router, Shared, View};
+use eelgrasspier_router::{
+    Attempt, Backend, BackendFuture, Outcome, Reply, Request, RequestProgress,
+};
+use eelgrasspier_router::{Router, SharedState, View};
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
 use tokio::sync::Notify;
 use tokio::time::Instant;
@@ -213,7 +215,7 @@
 /// A deployment of `shards` shards with two replicas each, `s0/a` and `s0/b` and so on.
 pub struct World {
     pub script: Rc<Script>,
-    pub shared: Arc<Shared>,
+    pub shared: Arc<SharedState>,
     pub router: Rc<Router>,
 }
 
@@ -244,7 +246,7 @@
 
     pub fn with_limits(route: Route, services: usize, limits: RetryLimits) -> Self {
         let script = Rc::new(Script::default());
-        let shared = Arc::new(Shared::new());
+        let shared = Arc::new(SharedState::new());
         let backend = Rc::new(Scripted(Rc::clone(&script)));
         let router = Router::new(Arc::clone(&shared), backend, "own", "z1".into(), limits);
         shared.publish(view(route, services));
@@ -274,7 +276,7 @@
         body: Bytes::new(),
         arrived: Instant::now(),
         deadline_ms: Some(deadline_ms),
-        learnt: Learnt::default(),
+        progress: RequestProgress::default(),
     }
 }
 
@@ -307,16 +309,16 @@
         replicas.insert(service, entries.to_vec());
     }
     View {
-        table: Arc::new(RouteTable::from(&configuration)),
+        route_table: Arc::new(RouteTable::from(&configuration)),
         configuration: Some(Arc::new(configuration)),
         replicas: Arc::new(replicas),
-        has_replicas: true,
-        instances: 1,
+        has_confirmed_replicas: true,
+        instance_count: 1,
         is_gatherer: true,
         capacity_milli: 250,
         ..View::default()
     }
-    .share_out("z1")
+    .with_derived_fields("z1")
 }
 
 /// Runs a test in virtual time on one thread.
--- a/crates/router/tests/delegates.rs
+++ b/crates/router/tests/delegates.rs
@@ -79,10 +79,10 @@
     let world = World::new(long_route(), SHARDS);
     let mut view = view(long_route(), SHARDS);
     view.is_gatherer = false;
-    view.instances = 4;
+    view.instance_count = 4;
     view.capacity_milli = 120;
     view.peers = Arc::new(peers);
-    world.shared.publish(view.share_out("z1"));
+    world.shared.publish(view.with_derived_fields("z1"));
     world
 }
 
@@ -111,7 +111,7 @@
         let mut beside = view(long_route(), SHARDS);
         let idle = Peer { name: "idle".into(), is_gatherer: false, ..second.peer.clone() };
         beside.peers = Arc::new(vec![second.peer.clone(), idle]);
-        local.world.shared.publish(beside.share_out("z1"));
+        local.world.shared.publish(beside.with_derived_fields("z1"));
         let world = small_instance(vec![local.peer.clone()]);
         let Outcome::Merged(merged) = world.serve("r1", DEADLINE_MS).await else { panic!() };
         assert_eq!((merged.signatures.len(), merged.missing), (SHARDS, 0));
@@ -183,9 +183,9 @@
         view.is_gatherer = false;
         // Same capacity as the other instance, so that this one splits the request itself.
         view.capacity_milli = 500;
-        view.instances = 2;
+        view.instance_count = 2;
         view.peers = Arc::new(vec![other.peer.clone()]);
-        world.shared.publish(view.share_out("z1"));
+        world.shared.publish(view.with_derived_fields("z1"));
         let outcome = world.serve("r1", DEADLINE_MS).await;
         let Outcome::Merged(merged) = outcome else { panic!("{outcome:?}") };
         assert_eq!((merged.signatures.len(), merged.missing), (SHARDS, 0));
--- a/crates/router/tests/lost_relays.rs
+++ b/crates/router/tests/lost_relays.rs
@@ -70,11 +70,11 @@
     let world = World::with_limits(long_route(), SHARDS, no_budget);
     let mut view = view(long_route(), SHARDS);
     view.is_gatherer = false;
-    view.instances = 3;
+    view.instance_count = 3;
     // Same capacity as the others, so that this one relays the shards itself.
     view.capacity_milli = 500;
     view.peers = Arc::new(peers);
-    world.shared.publish(view.share_out("z1"));
+    world.shared.publish(view.with_derived_fields("z1"));
     world
 }
 
--- a/crates/router/tests/places.rs
+++ b/crates/router/tests/places.rs
@@ -84,7 +84,7 @@
     in_virtual_time(async {
         let world = World::new(route(1), 1);
         let mut now = view(route(1), 1);
-        now.fleet = 3;
+        now.fleet_size = 3;
         now.cold_until_ms = Arc::new([("s0/a".into(), 60_000), ("s0/b".into(), 60_000)].into());
         world.shared.publish(now);
         for second in 0..4 {
