--- a/crates/router/src/control/instances.rs
+++ b/crates/router/src/control/instances.rs
@@ -141,7 +141,7 @@
         self.membership.borrow_mut().set_listed(&listed);
         if entries.listed_at.replace(Instant::now()).is_none() {
             let others = listed.iter().filter(|l| l.name != self.identity.name);
-            self.greet_instances(others.map(|l| l.peer_addr));
+            self.probe_instances(others.map(|l| l.peer_addr));
         }
         if self.listed_fleet_size.replace(Some(fleet)) != Some(fleet) {
             self.publish();
--- a/crates/router/src/control/join.rs
+++ b/crates/router/src/control/join.rs
@@ -3,7 +3,7 @@
 //! A gossip datagram carries a dozen records, so 195 instances that started together knew each
 //! other only after 10 s. Until then each sent requests to replicas of all zones itself instead of
 //! through the instances of those zones. A starting instance therefore fetches the full member
-//! table from an instance that others greet too, a few times while records are still arriving
+//! table from an instance that others probe too, a few times while records are still arriving
 //! there.
 
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 
 /// Process ages at which the member table is fetched, in milliseconds.
 ///
-/// At the first, all instances that started together have sent a greeting; the later ones cover
+/// At the first, all instances that started together have sent a probe; the later ones cover
 /// instances that started after them.
 const FETCH_AGES_MS: [u64; 4] = [400, 1_000, 2_000, 4_000];
 /// Request timeout, for 20 KB from an instance that others ask at the same time.
@@ -27,7 +27,7 @@
 impl Control {
     /// Fetches the member table from other instances until it contains nothing new.
     pub(super) async fn join(self: Rc<Self>) {
-        self.greet_seeds();
+        self.probe_seeds();
         for at_ms in FETCH_AGES_MS {
             // Jitter keeps the requests of instances that start together apart.
             let at_ms = at_ms + rand::random_range(0..at_ms / 4);
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns an instance that others greet too: one with an entry in the store, or else a seed.
+    /// Returns an instance that others probe too: one with an entry in the store, or else a seed.
     fn member_table_peer(&self) -> Option<SocketAddr> {
         let listed = self.membership.borrow().pick_listed_live(rand::random());
         listed.or_else(|| self.other_seeds().min_by_key(|_| rand::random::<u32>()))
--- a/crates/router/src/control/members.rs
+++ b/crates/router/src/control/members.rs
@@ -27,8 +27,8 @@
 pub(super) const MAX_REMOTE_NOTIFIED: usize = 16;
 /// Minimum interval between announcements of an instance that is no source, in milliseconds.
 const ANNOUNCE_INTERVAL_MS: u64 = 30_000;
-/// Average number of ticks between greetings to the seeds while no other instance is known.
-const MEAN_TICKS_PER_GREETING: u64 = 5;
+/// Average number of ticks between probes of the seeds while no other instance is known.
+const MEAN_TICKS_PER_SEED_PROBE: u64 = 5;
 
 pub(super) async fn receive_all(
     control: Rc<Control>,
@@ -48,25 +48,25 @@
         let now_ms = self.shared.now_ms();
         let sends = self.membership.borrow_mut().tick(now_ms, rand::random());
         self.send(sends);
-        self.greet_seeds_if_alone();
+        self.probe_seeds_if_alone();
         self.process_member_changes();
     }
 
-    fn greet_seeds_if_alone(&self) {
+    fn probe_seeds_if_alone(&self) {
         let is_alone = self.membership.borrow().live_count() == 1;
-        if is_alone && rand::random::<u64>().is_multiple_of(MEAN_TICKS_PER_GREETING) {
-            self.greet_seeds();
+        if is_alone && rand::random::<u64>().is_multiple_of(MEAN_TICKS_PER_SEED_PROBE) {
+            self.probe_seeds();
         }
     }
 
-    pub(super) fn greet_seeds(&self) {
-        self.greet_instances(self.other_seeds());
+    pub(super) fn probe_seeds(&self) {
+        self.probe_instances(self.other_seeds());
     }
 
-    /// Sends a greeting to the instances at the given addresses.
-    pub(super) fn greet_instances(&self, addrs: impl Iterator<Item = SocketAddr>) {
-        let greetings = addrs.map(|addr| self.membership.borrow_mut().probe_address(addr));
-        self.send(greetings.collect());
+    /// Sends a probe to the instances at the given addresses.
+    pub(super) fn probe_instances(&self, addrs: impl Iterator<Item = SocketAddr>) {
+        let probes = addrs.map(|addr| self.membership.borrow_mut().probe_address(addr));
+        self.send(probes.collect());
     }
 
     /// Returns the configured seed addresses except the own one; they may be stale.
--- a/crates/router/src/control/stored_suspects.rs
+++ b/crates/router/src/control/stored_suspects.rs
@@ -27,7 +27,7 @@
 const READ_AGES: [Duration; 2] = [Duration::from_millis(50), Duration::from_millis(3_500)];
 /// Delay before a request that is only suspected is written.
 ///
-/// A request that runs beside a crashing one is mostly answered at its caller's next attempt, and
+/// A request concurrent with a crashing one is mostly answered at its caller's next attempt, and
 /// is then not written at all.
 const SUSPECT_WRITE_DELAY: Duration = Duration::from_millis(500);
 /// Delay after a restore before watchers check for missing requests, in milliseconds.
--- a/crates/router/src/gather/shard.rs
+++ b/crates/router/src/gather/shard.rs
@@ -30,7 +30,7 @@
     pub(super) tried: Vec<Arc<str>>,
     /// Number of sends that are known not to have run.
     pub(super) not_run: usize,
-    /// Marks of the replicas that may be used, if the shard is relayed.
+    /// Hashes of the replicas that may be used, if the shard is relayed.
     pub(super) allowed: Option<Vec<u32>>,
     /// True if the shard was relayed again after the first instance was lost.
     pub(super) was_reassigned: bool,
@@ -64,7 +64,7 @@
 
     /// Returns the number of replicas that ran the request or may still run it.
     ///
-    /// A send in flight counts, since it may run beside a second one.
+    /// A send in flight counts, since it may run concurrently with a second one.
     pub(super) fn used_attempts(&self) -> usize {
         self.tried.len() - self.not_run
     }
--- a/crates/router/tests/cold_sends.rs
+++ b/crates/router/tests/cold_sends.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use common::{World, in_real_time, route, view};
+use common::{Fixture, in_real_time, route, view};
 use eelgrasspier_decide::prelude::Verdict;
 use eelgrasspier_decide::route::{Route, Target};
 use eelgrasspier_peer::wire::Body;
@@ -68,16 +68,16 @@
 }
 
 /// Builds a router that does not gather, with one peer and the given cold replicas.
-fn world_with_peer(route: Route, services: usize, peer: Peer, cold: &[&str]) -> World {
-    let world = World::new(route.clone(), services);
+fn fixture_with_peer(route: Route, services: usize, peer: Peer, cold: &[&str]) -> Fixture {
+    let fixture = Fixture::new(route.clone(), services);
     let mut new_view = view(route, services);
     new_view.is_gatherer = false;
     new_view.instance_count = 3;
     new_view.peers = Arc::new(vec![peer]);
     let until_ms = 600_000;
     new_view.cold_until_ms = Arc::new(cold.iter().map(|id| (Arc::from(*id), until_ms)).collect());
-    world.shared.publish(new_view.with_derived_fields("z1"));
-    world
+    fixture.shared.publish(new_view.with_derived_fields("z1"));
+    fixture
 }
 
 /// Guards against refusing requests although another instance may still send to the cold replica.
@@ -89,15 +89,15 @@
 fn another_instance_permits_sends_to_a_cold_replica() {
     in_real_time(async {
         let (instance, peer) = start_mock("z1", 2).await;
-        let world = world_with_peer(service_route(), 1, peer, &["s0/a", "s0/b"]);
+        let fixture = fixture_with_peer(service_route(), 1, peer, &["s0/a", "s0/b"]);
         for id in ["1", "2"] {
-            let outcome = world.serve(id, 2_000).await;
+            let outcome = fixture.serve(id, 2_000).await;
             assert!(matches!(outcome, Outcome::Relayed(_)), "{outcome:?}");
         }
-        let Outcome::Refused(refusal) = world.serve("3", 2_000).await else { panic!("served") };
+        let Outcome::Refused(refusal) = fixture.serve("3", 2_000).await else { panic!("served") };
         assert_eq!(refusal.verdict, Verdict::NotRun);
         assert!(refusal.retry_after_ms.is_some());
-        assert_eq!(world.script.arrivals.borrow().len(), 2);
+        assert_eq!(fixture.replicas.arrivals.borrow().len(), 2);
         assert!(
             instance.requested_replicas.borrow().len() > 2,
             "both replicas were asked for at the end"
@@ -109,10 +109,10 @@
 fn no_permission_is_requested_while_a_replica_is_warm() {
     in_real_time(async {
         let (instance, peer) = start_mock("z1", 5).await;
-        let world = world_with_peer(service_route(), 1, peer, &["s0/a"]);
-        let outcome = world.serve("1", 2_000).await;
+        let fixture = fixture_with_peer(service_route(), 1, peer, &["s0/a"]);
+        let outcome = fixture.serve("1", 2_000).await;
         assert!(matches!(outcome, Outcome::Relayed(_)), "{outcome:?}");
-        assert_eq!(world.script.arrivals_at("s0/b"), 1);
+        assert_eq!(fixture.replicas.arrivals_at("s0/b"), 1);
         assert!(instance.requested_replicas.borrow().is_empty());
     });
 }
@@ -128,14 +128,14 @@
             let (instance, peer) = start_mock("z1", 0).await;
             let mut home_route = route(4);
             home_route.home_regions = [home.into()].into();
-            let world = world_with_peer(home_route, 4, peer, &[]);
+            let fixture = fixture_with_peer(home_route, 4, peer, &[]);
             let regions = [("z1", "coast"), ("z2", "island")].map(|(z, r)| (z.into(), r.into()));
-            world.router.set_regions(regions.into_iter().collect());
+            fixture.router.set_regions(regions.into_iter().collect());
             // The outcome does not matter, only which instances and replicas were asked.
-            drop(world.serve("1", 400).await);
+            drop(fixture.serve("1", 400).await);
             assert_eq!(instance.gather_requests.get().min(1), gather_requests, "{home}");
             let foreign_replica = if home == "coast" { "b" } else { "a" };
-            let arrivals = world.script.arrivals.borrow();
+            let arrivals = fixture.replicas.arrivals.borrow();
             assert!(arrivals.iter().all(|a| !a.replica.ends_with(foreign_replica)), "{arrivals:?}");
         }
     });
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A test router over scripted replicas, mostly in virtual time.
+//! A router with scripted replicas, mostly in virtual time.
 
 #![allow(dead_code, reason = "each test file uses a part")]
 
@@ -22,23 +22,23 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The behaviour of a replica for the requests that reach it.
+/// The behavior of a replica for the requests that reach it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Conduct {
+pub enum ReplicaBehavior {
     /// It answers after this many milliseconds.
-    Answers(u64),
+    AnswersAfter(u64),
     /// It answers with its own error after this many milliseconds.
-    Fails(u64),
+    FailsAfter(u64),
     /// It reports at once that it did not run the request.
     Sheds,
     /// It runs the request, and the answer is lost after this many milliseconds.
-    Loses(u64),
+    LosesAnswerAfter(u64),
     /// It never answers.
     Silent,
     /// Another replica has taken over its address and says so.
     Replaced,
     /// No connection to it can be established.
-    Unreached,
+    Unreachable,
 }
 
 /// One request that reached a replica.
@@ -52,35 +52,35 @@
 
 /// Scripted replicas.
 #[derive(Default)]
-pub struct Script {
-    pub conduct: RefCell<HashMap<String, Conduct>>,
+pub struct ScriptedReplicas {
+    pub behaviors: RefCell<HashMap<String, ReplicaBehavior>>,
     /// Replicas without a free connection.
-    pub full: RefCell<HashSet<String>>,
-    /// Replicas whose process has ended.
-    pub ended: RefCell<HashSet<String>>,
+    pub saturated: RefCell<HashSet<String>>,
+    /// Replicas that have crashed.
+    pub crashed: RefCell<HashSet<String>>,
     /// Signalled when a replica crashes.
     crash_signals: RefCell<HashMap<String, Rc<Notify>>>,
     pub arrivals: RefCell<Vec<Arrival>>,
     pub cancelled: Rc<RefCell<u32>>,
     started: RefCell<Option<Instant>>,
     /// Time that a crashing request runs before the crash, in milliseconds, in addition to 1 ms.
-    pub ends_after_ms: Cell<u64>,
+    pub crash_delay_ms: Cell<u64>,
 }
 
-impl Script {
-    pub fn set(&self, replica: &str, conduct: Conduct) {
-        self.conduct.borrow_mut().insert(replica.to_owned(), conduct);
+impl ScriptedReplicas {
+    pub fn set_behavior(&self, replica: &str, behavior: ReplicaBehavior) {
+        self.behaviors.borrow_mut().insert(replica.to_owned(), behavior);
     }
 
     /// Crashes a replica: its requests in progress are lost, and it stops listening.
-    pub fn end(&self, replica: &str) {
-        self.ended.borrow_mut().insert(replica.to_owned());
+    pub fn crash(&self, replica: &str) {
+        self.crashed.borrow_mut().insert(replica.to_owned());
         self.crash_signal(replica).notify_waiters();
     }
 
     /// Restarts all crashed replicas.
-    pub fn start_all(&self) {
-        self.ended.borrow_mut().clear();
+    pub fn restart_all(&self) {
+        self.crashed.borrow_mut().clear();
     }
 
     fn crash_signal(&self, replica: &str) -> Rc<Notify> {
@@ -109,41 +109,42 @@
     }
 }
 
-pub struct Scripted(pub Rc<Script>);
+pub struct ScriptedBackend(pub Rc<ScriptedReplicas>);
 
-impl Backend for Scripted {
+impl Backend for ScriptedBackend {
     fn send(&self, attempt: Attempt) -> BackendFuture<Reply> {
-        let script = &self.0;
-        let started = *script.started.borrow_mut().get_or_insert_with(Instant::now);
+        let replicas = &self.0;
+        let started = *replicas.started.borrow_mut().get_or_insert_with(Instant::now);
         let replica = attempt.replica.id.to_string();
-        if script.ended.borrow().contains(&replica) {
+        if replicas.crashed.borrow().contains(&replica) {
             return Box::pin(std::future::ready(Err(PartFailure::NotListening)));
         }
-        let conduct = script.conduct.borrow().get(&replica).copied();
-        script.arrivals.borrow_mut().push(Arrival {
+        let behavior = replicas.behaviors.borrow().get(&replica).copied();
+        replicas.arrivals.borrow_mut().push(Arrival {
             replica: replica.clone(),
             id: attempt.request.id_text().to_owned(),
             at_ms: u64::try_from(started.elapsed().as_millis()).unwrap(),
             time_left: attempt.time_left,
         });
-        let mut guard = CancelGuard(Rc::clone(&script.cancelled), false);
-        let script = Rc::clone(script);
+        let mut guard = CancelGuard(Rc::clone(&replicas.cancelled), false);
+        let replicas = Rc::clone(replicas);
         Box::pin(async move {
-            let crash_signal = script.crash_signal(&replica);
-            let ended = crash_signal.notified();
-            let answering = perform(conduct.unwrap_or(Conduct::Answers(5)), &replica, &attempt);
-            let is_crashing = attempt.request.path.path().contains(ENDS);
+            let crash_signal = replicas.crash_signal(&replica);
+            let crashed = crash_signal.notified();
+            let answering =
+                perform(behavior.unwrap_or(ReplicaBehavior::AnswersAfter(5)), &replica, &attempt);
+            let is_crashing = attempt.request.path.path().contains(CRASH_PATH);
             let crashing = async {
                 if is_crashing {
-                    let runs_ms = 1 + script.ends_after_ms.get();
+                    let runs_ms = 1 + replicas.crash_delay_ms.get();
                     tokio::time::sleep(Duration::from_millis(runs_ms)).await;
-                    script.end(&replica);
+                    replicas.crash(&replica);
                 }
                 std::future::pending::<()>().await;
             };
             let result = tokio::select! {
                 biased;
-                () = ended => Err(PartFailure::Lost("reset".to_owned())),
+                () = crashed => Err(PartFailure::Lost("reset".to_owned())),
                 () = crashing => unreachable!("it is never ready"),
                 result = answering, if !is_crashing => result,
             };
@@ -153,8 +154,8 @@
     }
 
     fn has_capacity(&self, replica: &str, max_connections: u32) -> bool {
-        let full = self.0.full.borrow();
-        max_connections > 0 && !full.contains(replica)
+        let saturated = self.0.saturated.borrow();
+        max_connections > 0 && !saturated.contains(replica)
     }
 
     fn preconnect(&self, _: Arc<ReplicaEntry>, _: u32) -> BackendFuture<()> {
@@ -162,8 +163,8 @@
     }
 
     fn check_listening(&self, replica: Arc<ReplicaEntry>, _: u32) -> BackendFuture<()> {
-        let has_ended = self.0.ended.borrow().contains(&*replica.id);
-        let result = if has_ended { Err(PartFailure::NotListening) } else { Ok(()) };
+        let has_crashed = self.0.crashed.borrow().contains(&*replica.id);
+        let result = if has_crashed { Err(PartFailure::NotListening) } else { Ok(()) };
         Box::pin(async move {
             tokio::time::sleep(Duration::from_millis(1)).await;
             result
@@ -173,28 +174,32 @@
     fn retain(&self, _: &HashSet<Arc<str>>) {}
 }
 
-async fn perform(conduct: Conduct, replica: &str, attempt: &Attempt) -> Result<Reply, PartFailure> {
+async fn perform(
+    behavior: ReplicaBehavior,
+    replica: &str,
+    attempt: &Attempt,
+) -> Result<Reply, PartFailure> {
     let pause = |ms| tokio::time::sleep(Duration::from_millis(ms));
-    if conduct != Conduct::Unreached {
+    if behavior != ReplicaBehavior::Unreachable {
         attempt.dispatched.set();
     }
-    match conduct {
-        Conduct::Answers(ms) => pause(ms).await,
-        Conduct::Fails(ms) => {
+    match behavior {
+        ReplicaBehavior::AnswersAfter(ms) => pause(ms).await,
+        ReplicaBehavior::FailsAfter(ms) => {
             pause(ms).await;
             return Ok(reply(StatusCode::INTERNAL_SERVER_ERROR, replica));
         }
-        Conduct::Replaced => return Err(PartFailure::Misdirected),
-        Conduct::Sheds => return Err(PartFailure::Shed(Box::default())),
-        Conduct::Loses(ms) => {
+        ReplicaBehavior::Replaced => return Err(PartFailure::Misdirected),
+        ReplicaBehavior::Sheds => return Err(PartFailure::Shed(Box::default())),
+        ReplicaBehavior::LosesAnswerAfter(ms) => {
             pause(ms).await;
             return Err(PartFailure::Lost("reset".to_owned()));
         }
-        Conduct::Silent => {
+        ReplicaBehavior::Silent => {
             tokio::time::sleep(attempt.time_left).await;
             return Err(PartFailure::TimedOut);
         }
-        Conduct::Unreached => {
+        ReplicaBehavior::Unreachable => {
             tokio::time::sleep(attempt.time_left).await;
             return Err(PartFailure::NotReached("connect timed out".to_owned()));
         }
@@ -212,9 +217,9 @@
     }
 }
 
-/// A deployment of `shards` shards with two replicas each, `s0/a` and `s0/b` and so on.
-pub struct World {
-    pub script: Rc<Script>,
+/// A router and its scripted replicas, two for each shard: `s0/a`, `s0/b` and so on.
+pub struct Fixture {
+    pub replicas: Rc<ScriptedReplicas>,
     pub shared: Arc<SharedState>,
     pub router: Rc<Router>,
 }
@@ -237,20 +242,21 @@
     }
 }
 
-pub const LIMITS: RetryLimits = RetryLimits { ratio_milli: 200, slack: 54, window_ms: 10_000 };
+pub const RETRY_LIMITS: RetryLimits =
+    RetryLimits { ratio_milli: 200, slack: 54, window_ms: 10_000 };
 
-impl World {
+impl Fixture {
     pub fn new(route: Route, services: usize) -> Self {
-        Self::with_limits(route, services, LIMITS)
+        Self::with_limits(route, services, RETRY_LIMITS)
     }
 
     pub fn with_limits(route: Route, services: usize, limits: RetryLimits) -> Self {
-        let script = Rc::new(Script::default());
+        let replicas = Rc::new(ScriptedReplicas::default());
         let shared = Arc::new(SharedState::new());
-        let backend = Rc::new(Scripted(Rc::clone(&script)));
+        let backend = Rc::new(ScriptedBackend(Rc::clone(&replicas)));
         let router = Router::new(Arc::clone(&shared), backend, "own", "z1".into(), limits);
         shared.publish(view(route, services));
-        Self { script, shared, router }
+        Self { replicas, shared, router }
     }
 
     pub async fn serve(&self, id: &str, deadline_ms: u64) -> Outcome {
@@ -259,19 +265,19 @@
 }
 
 /// Part of the path of requests that crash each replica that runs them, after 1 ms.
-pub const ENDS: &str = "ends";
+pub const CRASH_PATH: &str = "ends";
 
 pub fn request(id: &str, deadline_ms: u64) -> Request {
-    request_for("x", id, deadline_ms)
+    request_to_path("x", id, deadline_ms)
 }
 
-/// Creates a request whose path ends with `what`.
-pub fn request_for(what: &str, id: &str, deadline_ms: u64) -> Request {
+/// Creates a request whose path ends with `path`.
+pub fn request_to_path(path: &str, id: &str, deadline_ms: u64) -> Request {
     Request {
         id: HeaderValue::from_str(id).unwrap(),
         method: Method::GET,
         host: "h".to_owned(),
-        path: format!("/q/{what}").parse().unwrap(),
+        path: format!("/q/{path}").parse().unwrap(),
         headers: HeaderMap::new(),
         body: Bytes::new(),
         arrived: Instant::now(),
--- a/crates/router/tests/delegates.rs
+++ b/crates/router/tests/delegates.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use common::{Conduct, World, in_real_time, route, view};
+use common::{Fixture, ReplicaBehavior, in_real_time, route, view};
 use eelgrasspier_decide::prelude::{RefusalReason, Verdict};
 use eelgrasspier_decide::route::Route;
 use eelgrasspier_peer::wire::Body;
@@ -48,16 +48,16 @@
 
 /// A large instance with replicas of its own.
 struct LargeInstance {
-    world: World,
+    fixture: Fixture,
     peer: Peer,
     request_count: Rc<Cell<u32>>,
 }
 
 async fn start_large(name: &str, zone: &str) -> LargeInstance {
-    let world = World::new(long_route(), SHARDS);
+    let fixture = Fixture::new(long_route(), SHARDS);
     let request_count = Rc::new(Cell::new(0));
     let service = GatherService {
-        router: Rc::clone(&world.router),
+        router: Rc::clone(&fixture.router),
         request_count: Rc::clone(&request_count),
     };
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -65,7 +65,7 @@
     tokio::task::spawn_local(serve(listener, Rc::new(service)));
     let (is_gatherer, capacity_milli) = (true, 500);
     let peer = Peer { name: name.into(), addr, zone: zone.into(), is_gatherer, capacity_milli };
-    LargeInstance { world, peer, request_count }
+    LargeInstance { fixture, peer, request_count }
 }
 
 fn long_route() -> Route {
@@ -75,15 +75,15 @@
 }
 
 /// A small instance of the zone `z1` with the given peers.
-fn small_instance(peers: Vec<Peer>) -> World {
-    let world = World::new(long_route(), SHARDS);
+fn small_instance(peers: Vec<Peer>) -> Fixture {
+    let fixture = Fixture::new(long_route(), SHARDS);
     let mut view = view(long_route(), SHARDS);
     view.is_gatherer = false;
     view.instance_count = 4;
     view.capacity_milli = 120;
     view.peers = Arc::new(peers);
-    world.shared.publish(view.with_derived_fields("z1"));
-    world
+    fixture.shared.publish(view.with_derived_fields("z1"));
+    fixture
 }
 
 /// A small instance must delegate a request in a single message. Splitting it between the gathering
@@ -95,11 +95,11 @@
     in_real_time(async {
         let local = start_large("near", "z1").await;
         let remote = start_large("far", "z2").await;
-        let world = small_instance(vec![local.peer.clone(), remote.peer.clone()]);
-        let Outcome::Merged(merged) = world.serve("r1", DEADLINE_MS).await else { panic!() };
+        let fixture = small_instance(vec![local.peer.clone(), remote.peer.clone()]);
+        let Outcome::Merged(merged) = fixture.serve("r1", DEADLINE_MS).await else { panic!() };
         assert_eq!((merged.signatures.len(), merged.missing), (SHARDS, 0));
         assert_eq!((local.request_count.get(), remote.request_count.get()), (1, 0));
-        assert!(world.script.arrivals.borrow().is_empty());
+        assert!(fixture.replicas.arrivals.borrow().is_empty());
     });
 }
 
@@ -108,15 +108,15 @@
 fn a_delegated_request_is_split_by_the_delegate() {
     in_real_time(async {
         let (local, second) = (start_large("near", "z1").await, start_large("second", "z1").await);
-        let mut beside = view(long_route(), SHARDS);
+        let mut delegate_view = view(long_route(), SHARDS);
         let idle = Peer { name: "idle".into(), is_gatherer: false, ..second.peer.clone() };
-        beside.peers = Arc::new(vec![second.peer.clone(), idle]);
-        local.world.shared.publish(beside.with_derived_fields("z1"));
-        let world = small_instance(vec![local.peer.clone()]);
-        let Outcome::Merged(merged) = world.serve("r1", DEADLINE_MS).await else { panic!() };
+        delegate_view.peers = Arc::new(vec![second.peer.clone(), idle]);
+        local.fixture.shared.publish(delegate_view.with_derived_fields("z1"));
+        let fixture = small_instance(vec![local.peer.clone()]);
+        let Outcome::Merged(merged) = fixture.serve("r1", DEADLINE_MS).await else { panic!() };
         assert_eq!((merged.signatures.len(), merged.missing), (SHARDS, 0));
         assert_eq!((local.request_count.get(), second.request_count.get()), (1, 1));
-        let arrivals = |large: &LargeInstance| large.world.script.arrivals.borrow().len();
+        let arrivals = |large: &LargeInstance| large.fixture.replicas.arrivals.borrow().len();
         assert_eq!(arrivals(&local) + arrivals(&second), SHARDS);
         assert!(arrivals(&local) > 0 && arrivals(&second) > 0);
     });
@@ -131,9 +131,9 @@
         let addr = gone.local_addr().unwrap();
         drop(gone);
         let lost = Peer { name: "lost".into(), addr, ..healthy.peer.clone() };
-        let world = small_instance(vec![lost, healthy.peer.clone()]);
+        let fixture = small_instance(vec![lost, healthy.peer.clone()]);
         for id in ["r1", "r2", "r3", "r4"] {
-            let Outcome::Merged(merged) = world.serve(id, DEADLINE_MS).await else { panic!() };
+            let Outcome::Merged(merged) = fixture.serve(id, DEADLINE_MS).await else { panic!() };
             assert_eq!((merged.signatures.len(), merged.missing), (SHARDS, 0));
         }
     });
@@ -148,19 +148,22 @@
         let local = start_large("near", "z1").await;
         for shard in 0..SHARDS {
             for replica in ["a", "b"] {
-                local.world.script.set(&format!("s{shard}/{replica}"), Conduct::Loses(1));
+                local.fixture.replicas.set_behavior(
+                    &format!("s{shard}/{replica}"),
+                    ReplicaBehavior::LosesAnswerAfter(1),
+                );
             }
         }
         for number in 0..6 {
-            local.world.serve(&format!("t{number}"), DEADLINE_MS).await;
+            local.fixture.serve(&format!("t{number}"), DEADLINE_MS).await;
         }
-        let before = local.world.script.arrivals.borrow().len();
-        let world = small_instance(vec![local.peer.clone()]);
-        let Outcome::Refused(refusal) = world.serve("r1", DEADLINE_MS).await else { panic!() };
+        let before = local.fixture.replicas.arrivals.borrow().len();
+        let fixture = small_instance(vec![local.peer.clone()]);
+        let Outcome::Refused(refusal) = fixture.serve("r1", DEADLINE_MS).await else { panic!() };
         assert_eq!((refusal.verdict, refusal.reason), (Verdict::NotRun, RefusalReason::Overloaded));
         assert!(refusal.retry_after_ms.is_some());
-        assert_eq!(local.world.script.arrivals.borrow().len(), before);
-        assert!(world.script.arrivals.borrow().is_empty());
+        assert_eq!(local.fixture.replicas.arrivals.borrow().len(), before);
+        assert!(fixture.replicas.arrivals.borrow().is_empty());
     });
 }
 
@@ -173,9 +176,9 @@
     in_real_time(async {
         let other = start_large("far", "z1").await;
         for replica in ["s3/a", "s3/b"] {
-            other.world.script.set(replica, Conduct::Silent);
+            other.fixture.replicas.set_behavior(replica, ReplicaBehavior::Silent);
         }
-        let world = small_instance(vec![other.peer.clone()]);
+        let fixture = small_instance(vec![other.peer.clone()]);
         let mut strict = long_route();
         strict.min_coverage = 1.0;
         strict.target_latency_ms = 300;
@@ -185,11 +188,11 @@
         view.capacity_milli = 500;
         view.instance_count = 2;
         view.peers = Arc::new(vec![other.peer.clone()]);
-        world.shared.publish(view.with_derived_fields("z1"));
-        let outcome = world.serve("r1", DEADLINE_MS).await;
+        fixture.shared.publish(view.with_derived_fields("z1"));
+        let outcome = fixture.serve("r1", DEADLINE_MS).await;
         let Outcome::Merged(merged) = outcome else { panic!("{outcome:?}") };
         assert_eq!((merged.signatures.len(), merged.missing), (SHARDS, 0));
-        let arrivals = world.script.arrivals.borrow();
+        let arrivals = fixture.replicas.arrivals.borrow();
         assert!(arrivals.iter().all(|a| a.replica.starts_with("s3/")), "{arrivals:?}");
     });
 }
@@ -240,8 +243,8 @@
             if cancelled.get() > 0 {
                 return;
             }
-            let world = small_instance(vec![frozen.clone(), healthy.peer.clone()]);
-            let Outcome::Merged(merged) = world.serve("r", DEADLINE_MS).await else { panic!() };
+            let fixture = small_instance(vec![frozen.clone(), healthy.peer.clone()]);
+            let Outcome::Merged(merged) = fixture.serve("r", DEADLINE_MS).await else { panic!() };
             assert_eq!((merged.signatures.len(), merged.missing), (SHARDS, 0));
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
--- a/crates/router/tests/lost_relays.rs
+++ b/crates/router/tests/lost_relays.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use common::{World, in_real_time, route, view};
+use common::{Fixture, in_real_time, route, view};
 use eelgrasspier_decide::retry_budget::RetryLimits;
 use eelgrasspier_peer::wire::Body;
 use eelgrasspier_peer::{AnswerFuture, PeerService, serve};
@@ -65,17 +65,17 @@
 }
 
 /// An instance that relays within its zone and has no retry budget.
-fn relaying_instance(peers: Vec<Peer>) -> World {
+fn relaying_instance(peers: Vec<Peer>) -> Fixture {
     let no_budget = RetryLimits { ratio_milli: 0, slack: 0, window_ms: 10_000 };
-    let world = World::with_limits(long_route(), SHARDS, no_budget);
+    let fixture = Fixture::with_limits(long_route(), SHARDS, no_budget);
     let mut view = view(long_route(), SHARDS);
     view.is_gatherer = false;
     view.instance_count = 3;
     // Same capacity as the others, so that this one relays the shards itself.
     view.capacity_milli = 500;
     view.peers = Arc::new(peers);
-    world.shared.publish(view.with_derived_fields("z1"));
-    world
+    fixture.shared.publish(view.with_derived_fields("z1"));
+    fixture
 }
 
 /// The shards of a frozen instance must be relayed to another one. Instances that relay have almost
@@ -84,14 +84,14 @@
 #[test]
 fn shards_of_a_frozen_instance_are_relayed_to_another() {
     in_real_time(async {
-        let other = World::new(long_route(), SHARDS);
+        let other = Fixture::new(long_route(), SHARDS);
         let silent = start("silent", Rc::new(SilentService)).await;
         let healthy = start("sound", Rc::new(GatherService(Rc::clone(&other.router)))).await;
-        let world = relaying_instance(vec![silent, healthy]);
-        let Outcome::Merged(merged) = world.serve("r1", DEADLINE_MS).await else { panic!() };
+        let fixture = relaying_instance(vec![silent, healthy]);
+        let Outcome::Merged(merged) = fixture.serve("r1", DEADLINE_MS).await else { panic!() };
         assert_eq!((merged.signatures.len(), merged.missing), (SHARDS, 0));
-        assert!(world.script.arrivals.borrow().is_empty());
-        assert_eq!(other.script.arrivals.borrow().len(), SHARDS);
+        assert!(fixture.replicas.arrivals.borrow().is_empty());
+        assert_eq!(other.replicas.arrivals.borrow().len(), SHARDS);
     });
 }
 
@@ -100,14 +100,14 @@
 #[test]
 fn shards_of_a_lost_instance_are_relayed_to_another() {
     in_real_time(async {
-        let other = World::new(long_route(), SHARDS);
+        let other = Fixture::new(long_route(), SHARDS);
         let gone = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = gone.local_addr().unwrap();
         drop(gone);
         let healthy = start("sound", Rc::new(GatherService(Rc::clone(&other.router)))).await;
         let lost = Peer { name: "lost".into(), addr, ..healthy.clone() };
-        let world = relaying_instance(vec![lost, healthy]);
-        let Outcome::Merged(merged) = world.serve("r1", DEADLINE_MS).await else { panic!() };
+        let fixture = relaying_instance(vec![lost, healthy]);
+        let Outcome::Merged(merged) = fixture.serve("r1", DEADLINE_MS).await else { panic!() };
         assert_eq!((merged.signatures.len(), merged.missing), (SHARDS, 0));
     });
 }
@@ -119,13 +119,13 @@
 fn the_replacement_instance_pays_for_the_retries() {
     in_real_time(async {
         let no_budget = RetryLimits { ratio_milli: 0, slack: 0, window_ms: 10_000 };
-        let other = World::with_limits(long_route(), SHARDS, no_budget);
+        let other = Fixture::with_limits(long_route(), SHARDS, no_budget);
         let silent = start("silent", Rc::new(SilentService)).await;
         let healthy = start("sound", Rc::new(GatherService(Rc::clone(&other.router)))).await;
-        let world = relaying_instance(vec![silent, healthy]);
-        assert!(matches!(world.serve("r1", DEADLINE_MS).await, Outcome::Refused(_)));
+        let fixture = relaying_instance(vec![silent, healthy]);
+        assert!(matches!(fixture.serve("r1", DEADLINE_MS).await, Outcome::Refused(_)));
         // Only the shards that were relayed to it in the first place.
-        let arrivals = other.script.arrivals.borrow().len();
+        let arrivals = other.replicas.arrivals.borrow().len();
         assert!((1..SHARDS).contains(&arrivals), "{arrivals}");
     });
 }
--- a/crates/router/tests/overload.rs
+++ b/crates/router/tests/overload.rs
@@ -2,21 +2,23 @@
 
 mod common;
 
-use common::{Conduct, World, in_virtual_time, route};
+use common::{Fixture, ReplicaBehavior, in_virtual_time, route};
 use eelgrasspier_decide::prelude::{RefusalReason, Verdict};
 use eelgrasspier_decide::relays;
 use eelgrasspier_peer::wire;
 use eelgrasspier_router::Outcome;
 
 /// Makes a router measure that both replicas of a shard answer far too late.
-async fn train_slow(world: &World, shards: &[usize]) {
+async fn train_slow(fixture: &Fixture, shards: &[usize]) {
     for shard in shards {
         for replica in ["a", "b"] {
-            world.script.set(&format!("s{shard}/{replica}"), Conduct::Answers(350));
+            fixture
+                .replicas
+                .set_behavior(&format!("s{shard}/{replica}"), ReplicaBehavior::AnswersAfter(350));
         }
     }
     for id in ["t1", "t2", "t3"] {
-        world.serve(id, 400).await;
+        fixture.serve(id, 400).await;
     }
 }
 
@@ -32,29 +34,32 @@
 #[test]
 fn a_request_that_can_not_succeed_is_refused_before_any_send() {
     in_virtual_time(async {
-        let world = World::new(route(4), 4);
-        train_slow(&world, &[1, 2]).await;
-        let before = world.script.arrivals.borrow().len();
+        let fixture = Fixture::new(route(4), 4);
+        train_slow(&fixture, &[1, 2]).await;
+        let before = fixture.replicas.arrivals.borrow().len();
         let started = tokio::time::Instant::now();
-        let refusal = refusal(world.serve("r1", 400).await);
+        let refusal = refusal(fixture.serve("r1", 400).await);
         assert!(started.elapsed().is_zero());
         assert_eq!((refusal.verdict, refusal.reason), (Verdict::NotRun, RefusalReason::Overloaded));
         assert!(refusal.retry_after_ms.is_some());
-        assert_eq!(world.script.arrivals.borrow().len(), before);
+        assert_eq!(fixture.replicas.arrivals.borrow().len(), before);
     });
 }
 
 #[test]
 fn a_late_shard_is_left_out_if_it_may_be_missing() {
     in_virtual_time(async {
-        let world = World::new(route(4), 4);
-        train_slow(&world, &[1]).await;
-        let before = world.script.arrivals_at("s1/a") + world.script.arrivals_at("s1/b");
+        let fixture = Fixture::new(route(4), 4);
+        train_slow(&fixture, &[1]).await;
+        let before = fixture.replicas.arrivals_at("s1/a") + fixture.replicas.arrivals_at("s1/b");
         let started = tokio::time::Instant::now();
-        let Outcome::Merged(merged) = world.serve("r1", 400).await else { panic!("refused") };
+        let Outcome::Merged(merged) = fixture.serve("r1", 400).await else { panic!("refused") };
         assert_eq!(merged.missing, 1);
         assert!(started.elapsed().as_millis() < 40, "waited for the left-out shard");
-        assert_eq!(world.script.arrivals_at("s1/a") + world.script.arrivals_at("s1/b"), before);
+        assert_eq!(
+            fixture.replicas.arrivals_at("s1/a") + fixture.replicas.arrivals_at("s1/b"),
+            before
+        );
     });
 }
 
@@ -65,18 +70,18 @@
     in_virtual_time(async {
         let mut once = route(4);
         once.attempts = 1;
-        let world = World::new(once, 4);
+        let fixture = Fixture::new(once, 4);
         for shard in ["s0", "s1"] {
-            world.script.set(&format!("{shard}/a"), Conduct::Fails(2));
+            fixture.replicas.set_behavior(&format!("{shard}/a"), ReplicaBehavior::FailsAfter(2));
         }
         for shard in ["s2", "s3"] {
-            world.script.set(&format!("{shard}/a"), Conduct::Answers(60));
+            fixture.replicas.set_behavior(&format!("{shard}/a"), ReplicaBehavior::AnswersAfter(60));
         }
-        let refusal = refusal(world.serve("r1", 400).await);
+        let refusal = refusal(fixture.serve("r1", 400).await);
         assert_eq!(refusal.verdict, Verdict::MayHaveRun);
         assert_eq!(refusal.reason, RefusalReason::Coverage { covered: 0, wanted: 3 });
         tokio::task::yield_now().await;
-        assert_eq!(*world.script.cancelled.borrow(), 2);
+        assert_eq!(*fixture.replicas.cancelled.borrow(), 2);
     });
 }
 
@@ -85,12 +90,12 @@
 #[test]
 fn a_relay_answer_reports_left_out_shards_and_slow_replicas() {
     in_virtual_time(async {
-        let world = World::new(route(4), 4);
+        let fixture = Fixture::new(route(4), 4);
         for replica in ["s1/a", "s1/b"] {
-            world.script.set(replica, Conduct::Loses(2));
+            fixture.replicas.set_behavior(replica, ReplicaBehavior::LosesAnswerAfter(2));
         }
         for id in ["t1", "t2", "t3", "t4", "t5"] {
-            world.serve(id, 400).await;
+            fixture.serve(id, 400).await;
         }
         let both = ["s0/a", "s0/b", "s1/a", "s1/b"].map(relays::replica_hash);
         let gather_request = wire::GatherRequest {
@@ -109,17 +114,17 @@
             max_omitted: 1,
             ..wire::GatherRequest::default()
         };
-        let answer = world.router.gather_for_peer(gather_request.clone()).await;
+        let answer = fixture.router.gather_for_peer(gather_request.clone()).await;
         assert_eq!((answer.parts.len(), answer.left_out), (1, vec![1]));
         let slow = ["s1/a", "s1/b"].map(relays::replica_hash);
         assert!(slow.iter().all(|hash| answer.slow.contains(hash)));
         // If no shard may be missing, nothing is sent.
-        let before = world.script.arrivals.borrow().len();
+        let before = fixture.replicas.arrivals.borrow().len();
         let strict = wire::GatherRequest { max_omitted: 0, ..gather_request };
-        let answer = world.router.gather_for_peer(strict).await;
+        let answer = fixture.router.gather_for_peer(strict).await;
         assert_eq!((answer.parts.len(), answer.left_out), (0, vec![0, 1]));
         assert!(!answer.may_have_run);
-        assert_eq!(world.script.arrivals.borrow().len(), before);
+        assert_eq!(fixture.replicas.arrivals.borrow().len(), before);
     });
 }
 
@@ -129,11 +134,11 @@
 #[test]
 fn a_shard_is_not_resent_if_it_would_be_late() {
     in_virtual_time(async {
-        let world = World::new(route(4), 4);
-        world.script.set("s1/a", Conduct::Loses(66));
-        let Outcome::Merged(merged) = world.serve("r1", 400).await else { panic!("refused") };
+        let fixture = Fixture::new(route(4), 4);
+        fixture.replicas.set_behavior("s1/a", ReplicaBehavior::LosesAnswerAfter(66));
+        let Outcome::Merged(merged) = fixture.serve("r1", 400).await else { panic!("refused") };
         assert!(merged.missing <= 1);
-        let arrivals = world.script.arrivals.borrow();
+        let arrivals = fixture.replicas.arrivals.borrow();
         let last_ms = arrivals.iter().filter(|a| a.replica == "s1/b").map(|a| a.at_ms).max();
         assert!(last_ms.is_none_or(|at_ms| at_ms < 60), "sent again after {last_ms:?} ms");
     });
@@ -147,21 +152,21 @@
 #[test]
 fn slow_answers_at_start_cause_no_later_refusals() {
     in_virtual_time(async {
-        let world = World::new(route(16), 16);
-        let set_all = |conduct| {
+        let fixture = Fixture::new(route(16), 16);
+        let set_all = |behavior| {
             for shard in 0..16 {
-                world.script.set(&format!("s{shard}/a"), conduct);
-                world.script.set(&format!("s{shard}/b"), conduct);
+                fixture.replicas.set_behavior(&format!("s{shard}/a"), behavior);
+                fixture.replicas.set_behavior(&format!("s{shard}/b"), behavior);
             }
         };
-        set_all(Conduct::Answers(75));
+        set_all(ReplicaBehavior::AnswersAfter(75));
         for id in ["c1", "c2", "c3", "c4", "c5"] {
-            world.serve(id, 400).await;
+            fixture.serve(id, 400).await;
         }
-        set_all(Conduct::Answers(5));
+        set_all(ReplicaBehavior::AnswersAfter(5));
         tokio::time::sleep(std::time::Duration::from_secs(10)).await;
         for id in ["r1", "r2", "r3"] {
-            let Outcome::Merged(merged) = world.serve(id, 400).await else { panic!("refused") };
+            let Outcome::Merged(merged) = fixture.serve(id, 400).await else { panic!("refused") };
             assert_eq!(merged.missing, 0);
         }
     });
@@ -173,14 +178,17 @@
 #[test]
 fn a_relay_leaves_out_only_its_share_of_allowed_misses() {
     in_virtual_time(async {
-        let world = World::new(route(4), 4);
+        let fixture = Fixture::new(route(4), 4);
         for shard in [1, 2] {
             for replica in ["a", "b"] {
-                world.script.set(&format!("s{shard}/{replica}"), Conduct::Loses(2));
+                fixture.replicas.set_behavior(
+                    &format!("s{shard}/{replica}"),
+                    ReplicaBehavior::LosesAnswerAfter(2),
+                );
             }
         }
         for id in ["t1", "t2", "t3", "t4", "t5"] {
-            world.serve(id, 400).await;
+            fixture.serve(id, 400).await;
         }
         let hashes =
             (0..4).flat_map(|s| ["a", "b"].map(|r| relays::replica_hash(&format!("s{s}/{r}"))));
@@ -203,21 +211,21 @@
         // Three of the four misses are reserved for other shards: one shard is left out, the other
         // tried.
         let part = wire::GatherRequest { reserved_omissions: 3, ..gather_request.clone() };
-        let answer = world.router.gather_for_peer(part).await;
+        let answer = fixture.router.gather_for_peer(part).await;
         assert_eq!((answer.parts.len(), answer.left_out.len()), (2, 1));
         let was_sent = |shard: &str| {
-            let arrivals = world.script.arrivals.borrow();
+            let arrivals = fixture.replicas.arrivals.borrow();
             arrivals.iter().any(|a| a.id == "r1" && a.replica.starts_with(shard))
         };
         assert!(was_sent("s1/") != was_sent("s2/"));
         // All four misses are reserved: nothing is left out, and the fast shards are covered.
         let none = wire::GatherRequest { reserved_omissions: 4, ..gather_request.clone() };
-        let answer = world.router.gather_for_peer(none).await;
+        let answer = fixture.router.gather_for_peer(none).await;
         assert_eq!((answer.parts.len(), answer.left_out.len()), (2, 0));
         // More shards are late than the whole answer may miss, so nothing is sent.
         let strict =
             wire::GatherRequest { max_omitted: 1, reserved_omissions: 1, ..gather_request };
-        let answer = world.router.gather_for_peer(strict).await;
+        let answer = fixture.router.gather_for_peer(strict).await;
         assert_eq!((answer.parts.len(), answer.left_out.len()), (0, 4));
     });
 }
--- a/crates/router/tests/places.rs
+++ b/crates/router/tests/places.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{Conduct, World, in_virtual_time, route, view};
+use common::{Fixture, ReplicaBehavior, in_virtual_time, route, view};
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_router::Outcome;
 
@@ -14,8 +14,8 @@
 #[test]
 fn a_second_send_uses_the_current_replica_list() {
     in_virtual_time(async {
-        let world = World::new(route(1), 1);
-        world.script.set("s0/a", Conduct::Silent);
+        let fixture = Fixture::new(route(1), 1);
+        fixture.replicas.set_behavior("s0/a", ReplicaBehavior::Silent);
         let evacuating = async {
             tokio::time::sleep(Duration::from_millis(2)).await;
             let mut now = view(route(1), 1);
@@ -25,11 +25,11 @@
                 all.retain(is_own);
             }
             now.replicas = Arc::new(replicas);
-            world.shared.publish(now);
+            fixture.shared.publish(now);
         };
-        let (outcome, ()) = tokio::join!(world.serve("1", 400), evacuating);
+        let (outcome, ()) = tokio::join!(fixture.serve("1", 400), evacuating);
         assert!(matches!(outcome, Outcome::Refused(_)), "{outcome:?}");
-        assert_eq!(world.script.arrivals_at("s0/b"), 0);
+        assert_eq!(fixture.replicas.arrivals_at("s0/b"), 0);
     });
 }
 
@@ -40,13 +40,13 @@
     in_virtual_time(async {
         let mut homed = route(1);
         homed.home_regions = ["coast".into()].into();
-        let world = World::new(homed, 1);
+        let fixture = Fixture::new(homed, 1);
         let regions = [("z1", "coast"), ("z2", "island")].map(|(z, r)| (z.into(), r.into()));
-        world.router.set_regions(regions.into_iter().collect());
-        world.script.set("s0/a", Conduct::Silent);
-        let outcome = world.serve("1", 400).await;
+        fixture.router.set_regions(regions.into_iter().collect());
+        fixture.replicas.set_behavior("s0/a", ReplicaBehavior::Silent);
+        let outcome = fixture.serve("1", 400).await;
         assert!(matches!(outcome, Outcome::Refused(_)), "{outcome:?}");
-        let arrivals = |id| world.script.arrivals_at(id);
+        let arrivals = |id| fixture.replicas.arrivals_at(id);
         assert_eq!((arrivals("s0/a"), arrivals("s0/b")), (1, 0));
     });
 }
@@ -56,23 +56,23 @@
 #[test]
 fn a_cold_replica_is_rate_limited_and_the_warm_one_gets_the_rest() {
     in_virtual_time(async {
-        let world = World::new(route(1), 1);
+        let fixture = Fixture::new(route(1), 1);
         let mut cold = view(route(1), 1);
         cold.cold_until_ms = Arc::new([("s0/a".into(), 60_000)].into());
-        world.shared.publish(cold);
+        fixture.shared.publish(cold);
         let mut last = 0;
         for second in 0..4 {
             for n in 0..20 {
-                world.serve(&format!("{second}-{n}"), 400).await;
+                fixture.serve(&format!("{second}-{n}"), 400).await;
                 tokio::time::sleep(Duration::from_millis(40)).await;
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
-            let now = world.script.arrivals_at("s0/a");
+            let now = fixture.replicas.arrivals_at("s0/a");
             assert!(now - last <= 4, "{} in a second", now - last);
             last = now;
         }
         assert!(last >= 8, "{last} in four seconds");
-        assert_eq!(world.script.arrivals_at("s0/a") + world.script.arrivals_at("s0/b"), 80);
+        assert_eq!(fixture.replicas.arrivals_at("s0/a") + fixture.replicas.arrivals_at("s0/b"), 80);
     });
 }
 
@@ -82,16 +82,16 @@
 #[test]
 fn an_instance_without_known_peers_sends_nothing_to_cold_replicas() {
     in_virtual_time(async {
-        let world = World::new(route(1), 1);
+        let fixture = Fixture::new(route(1), 1);
         let mut now = view(route(1), 1);
         now.fleet_size = 3;
         now.cold_until_ms = Arc::new([("s0/a".into(), 60_000), ("s0/b".into(), 60_000)].into());
-        world.shared.publish(now);
+        fixture.shared.publish(now);
         for second in 0..4 {
-            let outcome = world.serve(&second.to_string(), 400).await;
+            let outcome = fixture.serve(&second.to_string(), 400).await;
             assert!(matches!(outcome, Outcome::Refused(_)), "{outcome:?}");
             tokio::time::sleep(Duration::from_secs(1)).await;
         }
-        assert!(world.script.arrivals.borrow().is_empty());
+        assert!(fixture.replicas.arrivals.borrow().is_empty());
     });
 }
--- a/crates/router/tests/relays.rs
+++ b/crates/router/tests/relays.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Conduct, World, in_virtual_time, route};
+use common::{Fixture, ReplicaBehavior, in_virtual_time, route};
 use eelgrasspier_decide::relays;
 use eelgrasspier_peer::wire;
 use eelgrasspier_router::Outcome;
@@ -31,18 +31,18 @@
 #[test]
 fn a_relay_sends_only_to_the_listed_replicas() {
     in_virtual_time(async {
-        let world = World::new(route(2), 2);
-        world.script.set("s0/a", Conduct::Silent);
+        let fixture = Fixture::new(route(2), 2);
+        fixture.replicas.set_behavior("s0/a", ReplicaBehavior::Silent);
         let only = vec![
             relays::replica_hash("s0/a"),
             relays::NO_REPLICA_HASH,
             relays::replica_hash("s1/b"),
             relays::NO_REPLICA_HASH,
         ];
-        let answer = world.router.gather_for_peer(gather_request(&["s0", "s1"], only)).await;
+        let answer = fixture.router.gather_for_peer(gather_request(&["s0", "s1"], only)).await;
         assert_eq!(answer.parts.len(), 1);
         assert!(answer.may_have_run);
-        let arrived = |id| world.script.arrivals_at(id);
+        let arrived = |id| fixture.replicas.arrivals_at(id);
         assert_eq!(
             [arrived("s0/a"), arrived("s0/b"), arrived("s1/a"), arrived("s1/b")],
             [1, 0, 0, 1]
@@ -53,16 +53,17 @@
 #[test]
 fn a_relay_hedges_and_answers_in_time_with_partial_results() {
     in_virtual_time(async {
-        let world = World::new(route(3), 3);
-        world.script.set("s0/a", Conduct::Silent);
-        world.script.set("s1/a", Conduct::Silent);
-        world.script.set("s1/b", Conduct::Silent);
+        let fixture = Fixture::new(route(3), 3);
+        fixture.replicas.set_behavior("s0/a", ReplicaBehavior::Silent);
+        fixture.replicas.set_behavior("s1/a", ReplicaBehavior::Silent);
+        fixture.replicas.set_behavior("s1/b", ReplicaBehavior::Silent);
         let services = ["s0", "s1", "s2"];
         let both = services
             .iter()
             .flat_map(|s| ["a", "b"].map(|r| relays::replica_hash(&format!("{s}/{r}"))));
         let started = tokio::time::Instant::now();
-        let answer = world.router.gather_for_peer(gather_request(&services, both.collect())).await;
+        let answer =
+            fixture.router.gather_for_peer(gather_request(&services, both.collect())).await;
         assert!(started.elapsed().as_millis() <= 72, "{:?}", started.elapsed());
         let shards: Vec<u32> = answer.parts.iter().map(|p| p.shard).collect();
         assert_eq!(shards.len(), 2);
@@ -76,14 +77,14 @@
 #[test]
 fn a_shard_is_sent_as_soon_as_a_connection_is_free() {
     in_virtual_time(async {
-        let world = World::new(route(2), 2);
-        world.script.full.borrow_mut().extend(["s0/a".to_owned(), "s0/b".to_owned()]);
-        let script = std::rc::Rc::clone(&world.script);
+        let fixture = Fixture::new(route(2), 2);
+        fixture.replicas.saturated.borrow_mut().extend(["s0/a".to_owned(), "s0/b".to_owned()]);
+        let script = std::rc::Rc::clone(&fixture.replicas);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
-            script.full.borrow_mut().clear();
+            script.saturated.borrow_mut().clear();
         });
-        let Outcome::Merged(merged) = world.serve("r1", 400).await else { panic!("refused") };
+        let Outcome::Merged(merged) = fixture.serve("r1", 400).await else { panic!("refused") };
         assert_eq!((merged.signatures.len(), merged.missing), (2, 0));
     });
 }
@@ -96,34 +97,34 @@
     in_virtual_time(async {
         let mut short = route(1);
         short.target_latency_ms = 50;
-        let world = World::new(short, 1);
-        world.script.set("s0/b", Conduct::Answers(300));
-        let fill = || world.script.full.borrow_mut().insert("s0/a".to_owned());
+        let fixture = Fixture::new(short, 1);
+        fixture.replicas.set_behavior("s0/b", ReplicaBehavior::AnswersAfter(300));
+        let fill = || fixture.replicas.saturated.borrow_mut().insert("s0/a".to_owned());
         fill();
         // Measures the latency of the slow replica.
         for id in ["r1", "r2"] {
-            world.serve(id, 400).await;
+            fixture.serve(id, 400).await;
         }
-        let before = world.script.arrivals_at("s0/b");
-        let script = std::rc::Rc::clone(&world.script);
+        let before = fixture.replicas.arrivals_at("s0/b");
+        let script = std::rc::Rc::clone(&fixture.replicas);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(std::time::Duration::from_millis(15)).await;
-            script.full.borrow_mut().clear();
+            script.saturated.borrow_mut().clear();
         });
-        assert!(matches!(world.serve("r3", 400).await, Outcome::Merged(_)));
-        assert_eq!(world.script.arrivals_at("s0/b"), before);
-        assert_eq!(world.script.arrivals_at("s0/a"), 1);
+        assert!(matches!(fixture.serve("r3", 400).await, Outcome::Merged(_)));
+        assert_eq!(fixture.replicas.arrivals_at("s0/b"), before);
+        assert_eq!(fixture.replicas.arrivals_at("s0/a"), 1);
     });
 }
 
 #[test]
 fn a_relay_answer_reports_slow_replicas() {
     in_virtual_time(async {
-        let world = World::new(route(2), 2);
-        world.script.set("s0/a", Conduct::Silent);
+        let fixture = Fixture::new(route(2), 2);
+        fixture.replicas.set_behavior("s0/a", ReplicaBehavior::Silent);
         let both = ["s0/a", "s0/b", "s1/a", "s1/b"].map(relays::replica_hash);
         let answer =
-            world.router.gather_for_peer(gather_request(&["s0", "s1"], both.to_vec())).await;
+            fixture.router.gather_for_peer(gather_request(&["s0", "s1"], both.to_vec())).await;
         assert_eq!(answer.parts.len(), 2);
         assert_eq!(answer.slow, [relays::replica_hash("s0/a")]);
     });
--- a/crates/router/tests/sends.rs
+++ b/crates/router/tests/sends.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Conduct, World, in_virtual_time, route};
+use common::{Fixture, ReplicaBehavior, in_virtual_time, route};
 use eelgrasspier_decide::prelude::Verdict;
 use eelgrasspier_decide::retry_budget::RetryLimits;
 use eelgrasspier_decide::route::Target;
@@ -15,25 +15,25 @@
     in_virtual_time(async {
         let mut one = route(3);
         one.attempts = 1;
-        let world = World::new(one, 3);
-        world.script.set("s1/a", Conduct::Silent);
+        let fixture = Fixture::new(one, 3);
+        fixture.replicas.set_behavior("s1/a", ReplicaBehavior::Silent);
         // Two of three shards are less than the minimum share.
-        assert!(matches!(world.serve("r1", 400).await, Outcome::Refused(_)));
-        assert_eq!(world.script.arrivals_at("s1/a"), 1);
-        assert_eq!(world.script.arrivals_at("s1/b"), 0);
+        assert!(matches!(fixture.serve("r1", 400).await, Outcome::Refused(_)));
+        assert_eq!(fixture.replicas.arrivals_at("s1/a"), 1);
+        assert_eq!(fixture.replicas.arrivals_at("s1/b"), 0);
     });
 }
 
 #[test]
 fn a_slow_shard_is_hedged_within_the_target() {
     in_virtual_time(async {
-        let world = World::new(route(4), 4);
-        world.script.set("s2/a", Conduct::Silent);
+        let fixture = Fixture::new(route(4), 4);
+        fixture.replicas.set_behavior("s2/a", ReplicaBehavior::Silent);
         let started = tokio::time::Instant::now();
-        let Outcome::Merged(merged) = world.serve("r1", 400).await else { panic!("refused") };
+        let Outcome::Merged(merged) = fixture.serve("r1", 400).await else { panic!("refused") };
         assert_eq!((merged.signatures.len(), merged.missing), (4, 0));
         assert!(started.elapsed().as_millis() < 80, "took {:?}", started.elapsed());
-        assert_eq!(world.script.arrivals_at("s2/b"), 1);
+        assert_eq!(fixture.replicas.arrivals_at("s2/b"), 1);
     });
 }
 
@@ -45,11 +45,11 @@
         let mut single = route(1);
         single.target = Target::Service("s0".into());
         single.is_idempotent = false;
-        let world = World::new(single, 1);
-        world.script.set("s0/a", Conduct::Loses(20));
-        let Outcome::Refused(refusal) = world.serve("r1", 400).await else { panic!("served") };
+        let fixture = Fixture::new(single, 1);
+        fixture.replicas.set_behavior("s0/a", ReplicaBehavior::LosesAnswerAfter(20));
+        let Outcome::Refused(refusal) = fixture.serve("r1", 400).await else { panic!("served") };
         assert_eq!(refusal.verdict, Verdict::MayHaveRun);
-        assert_eq!(world.script.arrivals.borrow().len(), 1);
+        assert_eq!(fixture.replicas.arrivals.borrow().len(), 1);
     });
 }
 
@@ -59,12 +59,12 @@
         let mut single = route(1);
         single.target = Target::Service("s0".into());
         single.is_idempotent = false;
-        let world = World::new(single, 1);
-        world.script.set("s0/a", Conduct::Sheds);
-        let Outcome::Relayed(reply) = world.serve("r1", 400).await else { panic!("refused") };
+        let fixture = Fixture::new(single, 1);
+        fixture.replicas.set_behavior("s0/a", ReplicaBehavior::Sheds);
+        let Outcome::Relayed(reply) = fixture.serve("r1", 400).await else { panic!("refused") };
         assert!(reply.status.is_success());
-        world.script.set("s0/b", Conduct::Sheds);
-        let Outcome::Refused(refusal) = world.serve("r2", 400).await else { panic!("served") };
+        fixture.replicas.set_behavior("s0/b", ReplicaBehavior::Sheds);
+        let Outcome::Refused(refusal) = fixture.serve("r2", 400).await else { panic!("served") };
         assert_eq!(refusal.verdict, Verdict::NotRun);
         assert!(refusal.retry_after_ms.is_some());
     });
@@ -78,10 +78,10 @@
         let mut single = route(1);
         single.target = Target::Service("s0".into());
         single.is_idempotent = false;
-        let world = World::new(single, 1);
-        world.script.set("s0/a", Conduct::Silent);
+        let fixture = Fixture::new(single, 1);
+        fixture.replicas.set_behavior("s0/a", ReplicaBehavior::Silent);
         let started = tokio::time::Instant::now();
-        let Outcome::Refused(refusal) = world.serve("r1", 300).await else { panic!("served") };
+        let Outcome::Refused(refusal) = fixture.serve("r1", 300).await else { panic!("served") };
         assert_eq!(refusal.verdict, Verdict::MayHaveRun);
         assert!(started.elapsed().as_millis() <= 300);
     });
@@ -92,13 +92,13 @@
 #[test]
 fn a_caller_that_disconnects_cancels_its_sends() {
     in_virtual_time(async {
-        let world = World::new(route(2), 2);
-        world.script.set("s0/a", Conduct::Silent);
-        world.script.set("s1/a", Conduct::Silent);
+        let fixture = Fixture::new(route(2), 2);
+        fixture.replicas.set_behavior("s0/a", ReplicaBehavior::Silent);
+        fixture.replicas.set_behavior("s1/a", ReplicaBehavior::Silent);
         let short = std::time::Duration::from_millis(5);
-        assert!(tokio::time::timeout(short, world.serve("r1", 400)).await.is_err());
+        assert!(tokio::time::timeout(short, fixture.serve("r1", 400)).await.is_err());
         tokio::task::yield_now().await;
-        assert_eq!(*world.script.cancelled.borrow(), 2);
+        assert_eq!(*fixture.replicas.cancelled.borrow(), 2);
     });
 }
 
@@ -107,11 +107,11 @@
 #[test]
 fn a_send_overtaken_by_its_hedge_is_not_cancelled() {
     in_virtual_time(async {
-        let world = World::new(route(1), 1);
-        world.script.set("s0/a", Conduct::Answers(60));
-        assert!(matches!(world.serve("r1", 400).await, Outcome::Merged(_)));
+        let fixture = Fixture::new(route(1), 1);
+        fixture.replicas.set_behavior("s0/a", ReplicaBehavior::AnswersAfter(60));
+        assert!(matches!(fixture.serve("r1", 400).await, Outcome::Merged(_)));
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
-        assert_eq!(*world.script.cancelled.borrow(), 0);
+        assert_eq!(*fixture.replicas.cancelled.borrow(), 0);
     });
 }
 
@@ -122,14 +122,14 @@
 #[test]
 fn a_replaced_replica_is_not_used_again() {
     in_virtual_time(async {
-        let world = World::new(route(1), 1);
-        world.script.set("s0/a", Conduct::Replaced);
+        let fixture = Fixture::new(route(1), 1);
+        fixture.replicas.set_behavior("s0/a", ReplicaBehavior::Replaced);
         for i in 0..50 {
-            let outcome = world.serve(&format!("r{i}"), 400).await;
+            let outcome = fixture.serve(&format!("r{i}"), 400).await;
             assert!(matches!(outcome, Outcome::Merged(_)), "{outcome:?}");
             tokio::time::sleep(std::time::Duration::from_millis(200)).await;
         }
-        assert_eq!(world.script.arrivals_at("s0/a"), 1);
+        assert_eq!(fixture.replicas.arrivals_at("s0/a"), 1);
     });
 }
 
@@ -139,9 +139,9 @@
 fn a_misdirected_send_is_retried_without_the_retry_budget() {
     in_virtual_time(async {
         let limits = RetryLimits { ratio_milli: 0, slack: 0, window_ms: 10_000 };
-        let world = World::with_limits(route(1), 1, limits);
-        world.script.set("s0/a", Conduct::Replaced);
-        assert!(matches!(world.serve("r1", 400).await, Outcome::Merged(_)));
+        let fixture = Fixture::with_limits(route(1), 1, limits);
+        fixture.replicas.set_behavior("s0/a", ReplicaBehavior::Replaced);
+        assert!(matches!(fixture.serve("r1", 400).await, Outcome::Merged(_)));
     });
 }
 
@@ -152,14 +152,14 @@
     in_virtual_time(async {
         let mut single = route(1);
         single.target = Target::Service("s0".into());
-        let world = World::new(single, 1);
-        world.script.set("s0/a", Conduct::Replaced);
-        world.script.set("s0/b", Conduct::Replaced);
-        world.serve("r1", 400).await;
-        let Outcome::Refused(refusal) = world.serve("r2", 400).await else { panic!("served") };
+        let fixture = Fixture::new(single, 1);
+        fixture.replicas.set_behavior("s0/a", ReplicaBehavior::Replaced);
+        fixture.replicas.set_behavior("s0/b", ReplicaBehavior::Replaced);
+        fixture.serve("r1", 400).await;
+        let Outcome::Refused(refusal) = fixture.serve("r2", 400).await else { panic!("served") };
         assert_eq!(refusal.verdict, Verdict::NotRun);
         assert!(refusal.retry_after_ms.is_some());
-        assert_eq!(world.script.arrivals.borrow().len(), 2);
+        assert_eq!(fixture.replicas.arrivals.borrow().len(), 2);
     });
 }
 
@@ -167,15 +167,15 @@
 fn an_instance_with_little_cpu_capacity_answers_earlier() {
     in_virtual_time(async {
         for (capacity_milli, latest_ms) in [(500, 73), (120, 63)] {
-            let world = World::new(route(4), 4);
+            let fixture = Fixture::new(route(4), 4);
             let mut view = common::view(route(4), 4);
             view.capacity_milli = capacity_milli;
-            world.shared.publish(view);
+            fixture.shared.publish(view);
             for replica in ["s2/a", "s2/b"] {
-                world.script.set(replica, Conduct::Silent);
+                fixture.replicas.set_behavior(replica, ReplicaBehavior::Silent);
             }
             let started = tokio::time::Instant::now();
-            let Outcome::Merged(merged) = world.serve("r1", 400).await else { panic!("refused") };
+            let Outcome::Merged(merged) = fixture.serve("r1", 400).await else { panic!("refused") };
             assert_eq!(merged.missing, 1);
             let took_ms = started.elapsed().as_millis();
             assert!((latest_ms - 2..=latest_ms).contains(&took_ms), "{took_ms} of {latest_ms}");
@@ -192,11 +192,13 @@
         for is_idempotent in [true, false] {
             let mut once = route(1);
             once.is_idempotent = is_idempotent;
-            let world = World::new(once, 1);
+            let fixture = Fixture::new(once, 1);
             for replica in ["s0/a", "s0/b"] {
-                world.script.set(replica, Conduct::Unreached);
+                fixture.replicas.set_behavior(replica, ReplicaBehavior::Unreachable);
             }
-            let Outcome::Refused(refusal) = world.serve("r1", 200).await else { panic!("served") };
+            let Outcome::Refused(refusal) = fixture.serve("r1", 200).await else {
+                panic!("served")
+            };
             assert_eq!(refusal.verdict, Verdict::NotRun);
             assert!(refusal.retry_after_ms.is_some());
         }
@@ -209,11 +211,13 @@
         for is_idempotent in [true, false] {
             let mut once = route(1);
             once.is_idempotent = is_idempotent;
-            let world = World::new(once, 1);
+            let fixture = Fixture::new(once, 1);
             for replica in ["s0/a", "s0/b"] {
-                world.script.set(replica, Conduct::Silent);
+                fixture.replicas.set_behavior(replica, ReplicaBehavior::Silent);
             }
-            let Outcome::Refused(refusal) = world.serve("r1", 200).await else { panic!("served") };
+            let Outcome::Refused(refusal) = fixture.serve("r1", 200).await else {
+                panic!("served")
+            };
             assert_eq!(refusal.verdict, Verdict::MayHaveRun);
         }
     });
--- a/crates/router/tests/suspects.rs
+++ b/crates/router/tests/suspects.rs
@@ -1,10 +1,10 @@
-//! Requests that crash replicas, and the requests that run beside them.
+//! Requests that crash replicas, and the requests that run concurrently.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{Conduct, World, in_virtual_time, request_for, route};
+use common::{Fixture, ReplicaBehavior, in_virtual_time, request_to_path, route};
 use eelgrasspier_decide::prelude::{RefusalReason, Verdict};
 use eelgrasspier_decide::route::Target;
 use eelgrasspier_router::Outcome;
@@ -16,12 +16,12 @@
     matches!(outcome, Outcome::Refused(r) if r.reason == RefusalReason::CrashesReplicas)
 }
 
-async fn serve(world: &World, what: &str, id: &str) -> Outcome {
-    world.router.serve(request_for(what, id, DEADLINE_MS)).await
+async fn serve(fixture: &Fixture, path: &str, id: &str) -> Outcome {
+    fixture.router.serve(request_to_path(path, id, DEADLINE_MS)).await
 }
 
-fn arrivals(world: &World) -> usize {
-    world.script.arrivals.borrow().len()
+fn arrivals(fixture: &Fixture) -> usize {
+    fixture.replicas.arrivals.borrow().len()
 }
 
 /// A request that crashes replicas must be quarantined after two trials. Without a quarantine its
@@ -30,29 +30,29 @@
 #[test]
 fn a_request_that_crashes_replicas_is_quarantined_after_two_trials() {
     in_virtual_time(async {
-        let world = World::new(route(SHARDS), SHARDS);
-        let Outcome::Refused(refusal) = serve(&world, "ends", "r1").await else { panic!() };
+        let fixture = Fixture::new(route(SHARDS), SHARDS);
+        let Outcome::Refused(refusal) = serve(&fixture, "ends", "r1").await else { panic!() };
         assert_eq!(refusal.verdict, Verdict::MayHaveRun);
         // All first sends, one more before the second loss is detected, and two trials.
-        let first = arrivals(&world);
+        let first = arrivals(&fixture);
         assert!(first <= SHARDS + 3, "{first}");
-        world.script.start_all();
+        fixture.replicas.restart_all();
         for attempt in 0..5 {
-            let outcome = serve(&world, "ends", &format!("r{attempt}")).await;
+            let outcome = serve(&fixture, "ends", &format!("r{attempt}")).await;
             let Outcome::Refused(refusal) = outcome else { panic!("served") };
             assert_eq!(refusal.reason, RefusalReason::CrashesReplicas);
             assert_eq!(refusal.verdict, Verdict::NotRun);
             assert!(refusal.retry_after_ms.is_some_and(|ms| ms > 60_000), "{refusal:?}");
         }
-        assert_eq!(arrivals(&world), first);
+        assert_eq!(arrivals(&fixture), first);
     });
 }
 
 /// Serves typical requests, so that the router sends hedges early.
-async fn train_latency(world: &World) {
+async fn train_latency(fixture: &Fixture) {
     for number in 0..20 {
-        let what = format!("usual-{number}");
-        assert!(matches!(serve(world, &what, &what).await, Outcome::Merged(_)));
+        let path = format!("usual-{number}");
+        assert!(matches!(serve(fixture, &path, &path).await, Outcome::Merged(_)));
     }
 }
 
@@ -61,12 +61,12 @@
 #[test]
 fn a_request_that_crashes_replicas_late_crashes_one_per_shard() {
     in_virtual_time(async {
-        let world = World::new(route(SHARDS), SHARDS);
-        train_latency(&world).await;
-        let before = arrivals(&world);
-        world.script.ends_after_ms.set(45);
-        serve(&world, "ends", "r1").await;
-        let reached = arrivals(&world) - before;
+        let fixture = Fixture::new(route(SHARDS), SHARDS);
+        train_latency(&fixture).await;
+        let before = arrivals(&fixture);
+        fixture.replicas.crash_delay_ms.set(45);
+        serve(&fixture, "ends", "r1").await;
+        let reached = arrivals(&fixture) - before;
         assert!(reached <= SHARDS + 3, "{reached}");
     });
 }
@@ -76,17 +76,17 @@
 #[test]
 fn trials_of_a_request_that_crashes_replicas_late_do_not_overlap() {
     in_virtual_time(async {
-        let world = World::new(route(SHARDS), SHARDS);
-        train_latency(&world).await;
-        world.script.ends_after_ms.set(75);
-        serve(&world, "ends", "r1").await;
-        let first = arrivals(&world);
+        let fixture = Fixture::new(route(SHARDS), SHARDS);
+        train_latency(&fixture).await;
+        fixture.replicas.crash_delay_ms.set(75);
+        serve(&fixture, "ends", "r1").await;
+        let first = arrivals(&fixture);
         for attempt in 0..8 {
             tokio::time::sleep(Duration::from_secs(1)).await;
-            world.script.start_all();
-            serve(&world, "ends", &format!("again-{attempt}")).await;
+            fixture.replicas.restart_all();
+            serve(&fixture, "ends", &format!("again-{attempt}")).await;
         }
-        assert!(arrivals(&world) <= first + 3, "{first}, then {}", arrivals(&world));
+        assert!(arrivals(&fixture) <= first + 3, "{first}, then {}", arrivals(&fixture));
     });
 }
 
@@ -97,40 +97,40 @@
             let mut single = route(1);
             single.target = Target::Service("s0".into());
             single.is_idempotent = is_idempotent;
-            let world = World::new(single, 1);
+            let fixture = Fixture::new(single, 1);
             for attempt in 0..20 {
-                serve(&world, "ends", &format!("r{attempt}")).await;
+                serve(&fixture, "ends", &format!("r{attempt}")).await;
                 tokio::time::sleep(Duration::from_secs(1)).await;
-                world.script.start_all();
+                fixture.replicas.restart_all();
             }
-            assert!(arrivals(&world) <= 4, "{}", arrivals(&world));
+            assert!(arrivals(&fixture) <= 4, "{}", arrivals(&fixture));
         }
     });
 }
 
-/// Requests that run beside one that crashes replicas must be answered. They are in progress in
+/// Requests that run concurrently with one that crashes replicas must be answered. They run in
 /// different phases on all replicas that crash, and must not be taken for the cause.
 #[test]
-fn requests_beside_one_that_crashes_replicas_are_answered() {
+fn requests_concurrent_with_one_that_crashes_replicas_are_answered() {
     in_virtual_time(async {
-        let world = World::new(route(SHARDS), SHARDS);
+        let fixture = Fixture::new(route(SHARDS), SHARDS);
         for round in 0..20 {
             let crashing = async {
                 tokio::time::sleep(Duration::from_millis(1 + round % 6)).await;
-                serve(&world, &format!("ends-{round}"), "ending").await
+                serve(&fixture, &format!("ends-{round}"), "ending").await
             };
-            let innocent = async |number: u64| {
-                let what = format!("innocent-{round}-{number}");
+            let harmless = async |number: u64| {
+                let path = format!("innocent-{round}-{number}");
                 tokio::time::sleep(Duration::from_millis(3 * number)).await;
-                serve(&world, &what, &what).await
+                serve(&fixture, &path, &path).await
             };
-            let (_, first, second) = tokio::join!(crashing, innocent(0), innocent(1));
+            let (_, first, second) = tokio::join!(crashing, harmless(0), harmless(1));
             for outcome in [first, second] {
                 assert!(matches!(outcome, Outcome::Merged(_)), "{round}: {outcome:?}");
             }
-            world.script.start_all();
+            fixture.replicas.restart_all();
             tokio::time::sleep(Duration::from_secs(3)).await;
-            let outcome = serve(&world, &format!("innocent-{round}-0"), "again").await;
+            let outcome = serve(&fixture, &format!("innocent-{round}-0"), "again").await;
             assert!(matches!(outcome, Outcome::Merged(_)), "{round}: {outcome:?}");
         }
     });
@@ -141,18 +141,19 @@
 #[test]
 fn connection_resets_are_not_crashes() {
     in_virtual_time(async {
-        let world = World::new(route(SHARDS), SHARDS);
+        let fixture = Fixture::new(route(SHARDS), SHARDS);
         let all = (0..SHARDS).flat_map(|s| [format!("s{s}/a"), format!("s{s}/b")]);
         let all: Vec<String> = all.collect();
-        let set_all = |conduct| all.iter().for_each(|r| world.script.set(r, conduct));
-        set_all(Conduct::Loses(2));
+        let set_all =
+            |behavior| all.iter().for_each(|r| fixture.replicas.set_behavior(r, behavior));
+        set_all(ReplicaBehavior::LosesAnswerAfter(2));
         for attempt in 0..10 {
-            let outcome = serve(&world, "innocent", &format!("r{attempt}")).await;
+            let outcome = serve(&fixture, "innocent", &format!("r{attempt}")).await;
             assert!(!is_quarantined(&outcome), "{outcome:?}");
         }
-        set_all(Conduct::Answers(5));
+        set_all(ReplicaBehavior::AnswersAfter(5));
         tokio::time::sleep(Duration::from_secs(5)).await;
-        let outcome = serve(&world, "innocent", "last").await;
+        let outcome = serve(&fixture, "innocent", "last").await;
         assert!(matches!(outcome, Outcome::Merged(_)), "{outcome:?}");
     });
 }
@@ -161,23 +162,23 @@
 #[test]
 fn requests_are_not_quarantined_when_replicas_lose_power() {
     in_virtual_time(async {
-        let world = World::new(route(SHARDS), SHARDS);
+        let fixture = Fixture::new(route(SHARDS), SHARDS);
         for cycle in 0..8 {
             let power_loss = async {
                 tokio::time::sleep(Duration::from_millis(3)).await;
                 for shard in 0..SHARDS {
-                    world.script.end(&format!("s{shard}/a"));
-                    world.script.end(&format!("s{shard}/b"));
+                    fixture.replicas.crash(&format!("s{shard}/a"));
+                    fixture.replicas.crash(&format!("s{shard}/b"));
                 }
                 tokio::time::sleep(Duration::from_secs(1)).await;
-                world.script.start_all();
+                fixture.replicas.restart_all();
             };
-            let requests = (0..10).map(async |n| serve(&world, &format!("i{n}"), "r").await);
+            let requests = (0..10).map(async |n| serve(&fixture, &format!("i{n}"), "r").await);
             let ((), outcomes) = tokio::join!(power_loss, futures_util::future::join_all(requests));
             assert!(!outcomes.iter().any(is_quarantined), "cycle {cycle}: {outcomes:?}");
             tokio::time::sleep(Duration::from_secs(3)).await;
             for number in 0..10 {
-                let outcome = serve(&world, &format!("i{number}"), "again").await;
+                let outcome = serve(&fixture, &format!("i{number}"), "again").await;
                 assert!(matches!(outcome, Outcome::Merged(_)), "cycle {cycle}: {outcome:?}");
             }
         }
