--- a/crates/router/src/backend.rs
+++ b/crates/router/src/backend.rs
@@ -63,7 +63,7 @@
 
     /// Checks whether a replica accepts connections.
     ///
-    /// Fails with [`PartFailure::NotListening`] if its process has ended.
+    /// Fails with [`PartFailure::NotListening`] if its process no longer runs.
     fn check_listening(
         &self,
         replica: Arc<ReplicaEntry>,
--- a/crates/router/src/gather/mod.rs
+++ b/crates/router/src/gather/mod.rs
@@ -280,15 +280,15 @@
         self.shards.iter().filter(has_replica).count() >= self.required_shards
     }
 
-    /// Returns the replicas of a service that accept new work and have not been replaced.
+    /// Returns the replicas of a service that accept new requests and have not been replaced.
     fn replicas(&self, service: &str) -> impl Iterator<Item = &'a Arc<ReplicaEntry>> + Clone {
         let listed = self.view.replicas.get(service).map_or(&[][..], Vec::as_slice);
         let (router, current_view) = (self.router, &self.current_view);
         let is_same = Arc::ptr_eq(self.view, current_view);
-        let takes_work = move |r: &&Arc<ReplicaEntry>| is_same || current_view.has_replica(r);
+        let accepts_requests = move |r: &&Arc<ReplicaEntry>| is_same || current_view.has_replica(r);
         let homes = &self.route.home_regions;
         let is_home = move |r: &&Arc<ReplicaEntry>| router.is_home(homes, &r.zone);
-        listed.iter().filter(takes_work).filter(is_home).filter(|r| !router.is_replaced(r))
+        listed.iter().filter(accepts_requests).filter(is_home).filter(|r| !router.is_replaced(r))
     }
 
     /// Returns healthy instances to which shards of the request may be relayed.
--- a/crates/router/src/gather/relay.rs
+++ b/crates/router/src/gather/relay.rs
@@ -219,7 +219,7 @@
         );
         let event_sender = self.event_sender.clone();
         let (peer, zone) = (Arc::clone(&peer.name), Arc::clone(&peer.zone));
-        self.gathered.relays += 1;
+        self.gathered.relay_requests += 1;
         self.tasks.peer_requests.push(actix_rt::spawn(async move {
             let result = answer.await;
             if cannot_have_run(&result) {
--- a/crates/router/src/gather/send.rs
+++ b/crates/router/src/gather/send.rs
@@ -130,7 +130,7 @@
         shard.tried.push(Arc::clone(&replica.id));
         shard.in_flight += 1;
         shard.hedge_at_ms = can_hedge.then_some(now_ms + hedge_delay_ms);
-        self.gathered.far += u32::from(replica.zone != self.router.zone);
+        self.gathered.cross_zone_sends += u32::from(replica.zone != self.router.zone);
         let left_ms = self.deadlines.limit_at_ms.saturating_sub(now_ms);
         let dispatched = DispatchFlag::default();
         self.write_flags.push(dispatched.clone());
@@ -151,7 +151,7 @@
         if admission == ColdAdmission::CountedHere
             && self.router.try_take_cold_send(&self.current_view, &replica)
         {
-            self.gathered.cold += 1;
+            self.gathered.cold_sends += 1;
         }
         let (router, request) = (Rc::clone(self.router), Rc::clone(self.request));
         let send_future = Rc::clone(self.router).send(attempt, state, self.timing.typical_ms);
@@ -257,10 +257,10 @@
         let (id, service) = (self.request.id_text(), &shard.service);
         log::info!("event=sent_again id={id} service={service} cause={cause} paid={paid}");
         if !is_paid {
-            self.gathered.unpaid += 1;
+            self.gathered.denied_extra_sends += 1;
             return false;
         }
-        self.gathered.repeats += 1;
+        self.gathered.extra_sends += 1;
         self.send(index)
     }
 }
--- a/crates/router/src/gather/shard.rs
+++ b/crates/router/src/gather/shard.rs
@@ -97,14 +97,14 @@
     /// True if the deadline expired.
     pub(crate) is_timed_out: bool,
     /// Extra sends (hedges and retries) that were sent, and those that the retry budget denied.
-    pub(crate) repeats: u32,
-    pub(crate) unpaid: u32,
+    pub(crate) extra_sends: u32,
+    pub(crate) denied_extra_sends: u32,
     /// Sends to replicas in other zones.
-    pub(crate) far: u32,
+    pub(crate) cross_zone_sends: u32,
     /// Sends to cold replicas that this instance rate limits.
-    pub(crate) cold: u32,
+    pub(crate) cold_sends: u32,
     /// Relay requests sent to other instances.
-    pub(crate) relays: u32,
+    pub(crate) relay_requests: u32,
     /// Names of the shards without a result.
     pub(crate) missing: Vec<Arc<str>>,
     /// The missing shards that failed rather than being late.
@@ -135,12 +135,19 @@
 
     /// Returns counters and missing shards as log fields.
     pub(crate) fn log_fields(&self) -> String {
-        let Self { repeats, unpaid, far, cold, relays, .. } = self;
+        let Self {
+            extra_sends,
+            denied_extra_sends,
+            cross_zone_sends,
+            cold_sends,
+            relay_requests,
+            ..
+        } = self;
         let [missing, failed, left_out] =
             [&self.missing, &self.failed, &self.left_out].map(|shards| shards.join(","));
         format!(
-            "repeats={repeats} unpaid={unpaid} far={far} cold={cold} relays={relays} missing=[{missing}] \
-             failed=[{failed}] left_out=[{left_out}]"
+            "repeats={extra_sends} unpaid={denied_extra_sends} far={cross_zone_sends} cold={cold_sends} \
+             relays={relay_requests} missing=[{missing}] failed=[{failed}] left_out=[{left_out}]"
         )
     }
 
--- a/crates/router/src/load_reports.rs
+++ b/crates/router/src/load_reports.rs
@@ -18,7 +18,7 @@
 /// Time for which a replica counts as slow after another instance has reported it, in milliseconds.
 ///
 /// Each shard receives some tens of requests per second, and a pause lasts 100 ms.
-const SLOW_MARK_TTL_MS: u64 = 300;
+const SLOW_REPORT_TTL_MS: u64 = 300;
 
 /// Latency ratio from which a replica is reported; lower values are within normal variation.
 const MIN_REPORTED_RATIO: f64 = 1.5;
@@ -90,7 +90,7 @@
         let now_ms = self.shared.now_ms();
         let mut slow = self.slow_until_ms.borrow_mut();
         slow.retain(|_, until_ms| *until_ms > now_ms);
-        slow.extend(hashes.iter().map(|&hash| (hash, now_ms + SLOW_MARK_TTL_MS)));
+        slow.extend(hashes.iter().map(|&hash| (hash, now_ms + SLOW_REPORT_TTL_MS)));
     }
 
     /// True if another instance has recently reported a replica as slow.
--- a/crates/router/tests/lost_relays.rs
+++ b/crates/router/tests/lost_relays.rs
@@ -95,7 +95,7 @@
     });
 }
 
-/// The shards of an instance that has ended must be relayed to another one: nothing listens at its
+/// The shards of an instance that has stopped must be relayed to another one: nothing listens at its
 /// address any more.
 #[test]
 fn shards_of_a_lost_instance_are_relayed_to_another() {
