--- a/crates/router/src/cold_limiter.rs
+++ b/crates/router/src/cold_limiter.rs
@@ -12,7 +12,9 @@
 use crate::router::Router;
 use crate::view::{Peer, View};
 
-/// Timeout for a permission from the coordinator; it allows for several round trips within a region.
+/// Timeout for a permission from the coordinator.
+///
+/// It allows for several round trips within a region.
 const COLD_SEND_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// Rate limiter for requests to cold replicas.
@@ -54,7 +56,7 @@
         }
         match self.cold_rate_limit(view, replica) {
             None => ColdAdmission::Unlimited,
-            Some(share) => self.cold_admission_by_coordinator(view, replica, share),
+            Some(limit) => self.cold_admission_by_coordinator(view, replica, limit),
         }
     }
 
@@ -62,7 +64,7 @@
         &self,
         view: &View,
         replica: &ReplicaEntry,
-        share: usize,
+        limit: usize,
     ) -> ColdAdmission {
         let now_ms = self.shared.now_ms();
         let mut peers: Vec<&Peer> =
@@ -90,9 +92,9 @@
                         self.shared.last_contact_ms(),
                         now_ms,
                     );
-                let has_room =
-                    self.cold_limiter.windows.borrow().has_room(&replica.id, share, now_ms);
-                if is_coordinator && has_room {
+                let is_below_limit =
+                    self.cold_limiter.windows.borrow().has_room(&replica.id, limit, now_ms);
+                if is_coordinator && is_below_limit {
                     ColdAdmission::CountedHere
                 } else {
                     ColdAdmission::Denied
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Returns the requests per second that one coordinator grants a cold replica; `None` if unlimited.
+    /// Returns the requests per second that a coordinator grants a cold replica, if limited.
     fn cold_rate_limit(&self, view: &View, replica: &ReplicaEntry) -> Option<usize> {
         let services = &view.configuration.as_ref()?.services;
         let rate_milli = services.get(&replica.service)?.cold_rate_milli;
@@ -110,10 +112,10 @@
 
     /// Counts one request to a cold replica; returns false if the limit has been reached.
     pub(crate) fn try_take_cold_send(&self, view: &View, replica: &ReplicaEntry) -> bool {
-        let Some(share) = self.cold_rate_limit(view, replica) else { return true };
+        let Some(limit) = self.cold_rate_limit(view, replica) else { return true };
         let now_ms = self.shared.now_ms();
         let is_taken =
-            self.cold_limiter.windows.borrow_mut().try_record(&replica.id, share, now_ms);
+            self.cold_limiter.windows.borrow_mut().try_record(&replica.id, limit, now_ms);
         count_cold_send(is_taken);
         is_taken
     }
--- a/crates/router/src/control/follow.rs
+++ b/crates/router/src/control/follow.rs
@@ -38,7 +38,7 @@
 ///
 /// By then it has fetched another instance's member table. Changes must be in force within 3 s.
 const MIN_WATCH_AGE_MS: u64 = 1_300;
-/// Jitter of the calls that follow the news that the store is reachable again, in milliseconds.
+/// Jitter of the calls that follow the notice that the store is reachable again, in milliseconds.
 const RECONNECT_JITTER_MS: u64 = 200;
 /// Minimum time without an answer that counts as a store outage, in milliseconds.
 ///
@@ -205,9 +205,10 @@
     async fn back_off(&self, delay: Duration) {
         let delay_ms = u64::try_from(delay.as_millis()).unwrap_or(u64::MAX);
         // Only a few instances probe for the end of an outage, so they may do it often.
-        let sharers =
+        let retrying_instances =
             if self.is_outage_prober() { watchers::MAX_OUTAGE_PROBERS } else { self.instances() };
-        let delay = Duration::from_millis(store_backoff::scaled_backoff_ms(delay_ms, sharers));
+        let delay =
+            Duration::from_millis(store_backoff::scaled_backoff_ms(delay_ms, retrying_instances));
         let reached = self.peer_reached_store.notified();
         if tokio::time::timeout(delay, reached).await.is_ok() {
             let jitter_ms = rand::random_range(0..RECONNECT_JITTER_MS);
--- a/crates/router/src/control/instances.rs
+++ b/crates/router/src/control/instances.rs
@@ -23,7 +23,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Process age from which it may write an entry, in milliseconds.
 ///
-/// By then it has learnt enough members by gossip to decide which few have an entry.
+/// By then it knows enough members by gossip to decide which few have an entry.
 const MIN_PUBLISH_AGE_MS: u64 = 5_000;
 /// The same age for an instance that has found no others, in milliseconds.
 ///
--- a/crates/router/src/gather/mod.rs
+++ b/crates/router/src/gather/mod.rs
@@ -1,11 +1,11 @@
 //! Scatter-gather of one request: first sends, hedges, retries and completion.
 
 mod admission;
-mod quarantine;
 mod relay;
 mod relay_results;
 mod results;
 mod send;
+mod send_permission;
 mod shard;
 
 use std::rc::Rc;
@@ -25,8 +25,8 @@
 use crate::route_state::{RouteState, Timing};
 use crate::router::Router;
 use crate::view::{Peer, View};
-use quarantine::Trials;
 use relay::{Probe, RelayResult};
+use send_permission::Trials;
 use shard::{Shard, ShardState};
 
 pub(crate) use shard::{Gathered, MergedParts};
--- a/crates/router/src/gather/send.rs
+++ b/crates/router/src/gather/send.rs
@@ -8,7 +8,7 @@
 use eelgrasspier_decide::directory::ReplicaEntry;
 use eelgrasspier_decide::prelude::Verdict;
 
-use super::quarantine::Permission;
+use super::send_permission::Permission;
 use super::shard::{Shard, ShardState};
 use super::{CONNECTION_RETRY_MS, Event, Gather};
 use crate::backend::Attempt;
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -129,11 +129,13 @@
         }
     }
 
-    /// Returns this instance's share of the `all` connections that a replica in `zone` accepts.
+    /// Returns this instance's share of the connections to a replica in `zone`.
+    ///
+    /// The replica accepts `replica_limit` connections from all instances together.
     #[must_use]
-    pub fn connection_share(&self, zone: &str, all: u32) -> u32 {
+    pub fn connection_share(&self, zone: &str, replica_limit: u32) -> u32 {
         let part = self.connection_shares.iter().find(|(name, _)| **name == *zone);
-        part.map_or(MIN_CONNECTIONS, |(_, part)| part.connections(all))
+        part.map_or(MIN_CONNECTIONS, |(_, part)| part.connections(replica_limit))
     }
 
     /// True if connections to replicas stay open after an answer.
--- a/crates/router/tests/lost_relays.rs
+++ b/crates/router/tests/lost_relays.rs
@@ -95,8 +95,8 @@
     });
 }
 
-/// The shards of an instance that has stopped must be relayed to another one: nothing listens at its
-/// address any more.
+/// The shards of a stopped instance must be relayed to another one: nothing listens at its address
+/// any more.
 #[test]
 fn shards_of_a_lost_instance_are_relayed_to_another() {
     in_real_time(async {
--- a/crates/router/tests/relays.rs
+++ b/crates/router/tests/relays.rs
@@ -79,10 +79,10 @@
     in_virtual_time(async {
         let fixture = Fixture::new(route(2), 2);
         fixture.replicas.saturated.borrow_mut().extend(["s0/a".to_owned(), "s0/b".to_owned()]);
-        let script = std::rc::Rc::clone(&fixture.replicas);
+        let replicas = std::rc::Rc::clone(&fixture.replicas);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
-            script.saturated.borrow_mut().clear();
+            replicas.saturated.borrow_mut().clear();
         });
         let Outcome::Merged(merged) = fixture.serve("r1", 400).await else { panic!("refused") };
         assert_eq!((merged.signatures.len(), merged.missing), (2, 0));
@@ -106,10 +106,10 @@
             fixture.serve(id, 400).await;
         }
         let before = fixture.replicas.arrivals_at("s0/b");
-        let script = std::rc::Rc::clone(&fixture.replicas);
+        let replicas = std::rc::Rc::clone(&fixture.replicas);
         tokio::task::spawn_local(async move {
             tokio::time::sleep(std::time::Duration::from_millis(15)).await;
-            script.saturated.borrow_mut().clear();
+            replicas.saturated.borrow_mut().clear();
         });
         assert!(matches!(fixture.serve("r3", 400).await, Outcome::Merged(_)));
         assert_eq!(fixture.replicas.arrivals_at("s0/b"), before);
