--- a/crates/router/src/cold_limiter.rs
+++ b/crates/router/src/cold_limiter.rs
@@ -12,9 +12,7 @@
 use crate::router::Router;
 use crate::view::{Peer, View};
 
-/// Timeout for a permission from the coordinator.
-///
-/// It allows for several round trips within a region.
+/// Timeout for the coordinator's permission: several round trips within a region.
 const COLD_SEND_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// Rate limiter for requests to cold replicas.
@@ -103,7 +101,7 @@
         }
     }
 
-    /// Returns the requests per second that a coordinator grants a cold replica, if limited.
+    /// Returns the requests per second that one coordinator permits; `None` if unlimited.
     fn cold_rate_limit(&self, view: &View, replica: &ReplicaEntry) -> Option<usize> {
         let services = &view.configuration.as_ref()?.services;
         let rate_milli = services.get(&replica.service)?.cold_rate_milli;
--- a/crates/router/src/control/follow.rs
+++ b/crates/router/src/control/follow.rs
@@ -14,8 +14,8 @@
 
 /// Time for which the store holds a watch open.
 ///
-/// A connection that has gone silent is noticed only when this time is over. A new read must still
-/// fit into the 4 s after the cut, by the end of which the instance must work normally again.
+/// A connection that has gone silent is noticed only when this time is over. The instance must work
+/// normally again 4 s after the cut, and it has to read the store again before that.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause between two watches, so that changes in quick succession cost one call.
 ///
@@ -32,7 +32,7 @@
 const INSTANCES_PER_POLL_INTERVAL: u64 = 6;
 /// Time that gossip gets to connect all instances at the first start of the system.
 pub(super) const GOSSIP_JOIN_TIME: Duration = Duration::from_millis(600);
-/// Time for which a non-watching instance then waits for the watchers' list.
+/// Time for which a non-watching instance then waits for the watchers' list, at the first start.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(3);
 /// Process age from which it may watch, in milliseconds.
 ///
@@ -152,7 +152,7 @@
                         self.is_confirmed.set(true);
                         return self.apply_changes(kind, &changes, "seed");
                     }
-                    // It has just started too.
+                    // The seed has no full list, since it has just started too.
                     Ok(_) => {}
                     Err(error) => log::info!("event=fetch_failed from={seed} cause=\"{error}\""),
                 }
--- a/crates/router/src/control/instances.rs
+++ b/crates/router/src/control/instances.rs
@@ -165,7 +165,8 @@
             let is_there = |name: &str| name == own || alive.contains(&name);
             self.stale_entries.borrow_mut().stale(&names, is_there, self.shared.now_ms())
         };
-        // Only watchers delete entries, to limit the number of calls. Deleting one twice does no harm.
+        // Only watchers delete entries, to limit the number of calls. Deleting one twice does no
+        // harm.
         for name in gone.iter().filter(|_| self.is_watcher()) {
             match self.store.delete_instance(name).await {
                 Ok(()) => log::info!("event=instance_withdrawn instance={name}"),
--- a/crates/router/src/control/members.rs
+++ b/crates/router/src/control/members.rs
@@ -25,7 +25,7 @@
 /// It covers the fetching instance of each zone and some more in case one of them is lost. With
 /// many more, the notifications of a change cost more bytes between zones than the change.
 pub(super) const MAX_REMOTE_NOTIFIED: usize = 16;
-/// Minimum interval between announcements of an instance that is no source, in milliseconds.
+/// Minimum interval between announcements of an instance that others need not fetch from, in ms.
 const ANNOUNCE_INTERVAL_MS: u64 = 30_000;
 /// Average number of ticks between probes of the seeds while no other instance is known.
 const MEAN_TICKS_PER_SEED_PROBE: u64 = 5;
@@ -175,7 +175,7 @@
         self.configuration.borrow().as_ref().is_some_and(|c| Some(c.version) > announced)
     }
 
-    /// True if an instance that is no source may announce its positions again.
+    /// True if an instance that others need not fetch from may announce its positions again.
     ///
     /// Records the time of the announcement if so.
     fn is_announcement_due(&self) -> bool {
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -101,7 +101,7 @@
     regressed_era: Cell<Option<u64>>,
     /// Wakes store calls that began before a restore.
     store_restored: Notify,
-    /// True once another instance was asked for objects that a restored store may lack.
+    /// True once another instance has sent what a restored store may lack, or that wait timed out.
     is_confirmed: Cell<bool>,
     /// Number of other instances that report the store as reachable.
     peers_reaching_store: Cell<usize>,
@@ -144,7 +144,7 @@
         let is_bootstrap = identity.is_bootstrap;
         let control = Rc::new(Self {
             membership: RefCell::new(Membership::new(own_member(&identity))),
-            // These frames need no order, so they carry no clock stamp.
+            // These messages need no ordering, so the clock stamp is constant.
             peer_connections: PeerConnections::new(Rc::new(|| 0)),
             shared,
             identity,
--- a/crates/router/src/control/stored_suspects.rs
+++ b/crates/router/src/control/stored_suspects.rs
@@ -44,7 +44,7 @@
 /// State of the crashing requests in the store.
 #[derive(Debug, Default)]
 pub(super) struct StoredSuspects {
-    /// Number of refusals of each request that the store holds.
+    /// Requests that the store holds, with the number of refusal periods of each so far.
     refusals: RefCell<BTreeMap<Fingerprint, u32>>,
     /// Requests whose latest state must be written or removed, with the time at which this is due.
     due: RefCell<BTreeMap<Fingerprint, Instant>>,
--- a/crates/router/src/gather/mod.rs
+++ b/crates/router/src/gather/mod.rs
@@ -93,10 +93,10 @@
 impl InFlightTasks {
     /// Detaches the sends, which then run to their end.
     ///
-    /// A replica whose answer came second is usually close to answering: its connection stays open
-    /// and its latency is measured, while cancelling would cost a new connection, which occupies a
-    /// slot. Relay requests are still cancelled. Otherwise an instance that was frozen would
-    /// gather, once it resumes, for callers that have already been answered.
+    /// A replica that was overtaken by another one usually answers a little later: its connection
+    /// stays open and its latency is measured, while cancelling would cost a new connection, which
+    /// occupies a slot. Relay requests are still cancelled. Otherwise an instance that was frozen
+    /// would gather, once it resumes, for callers that have already been answered.
     fn detach_sends(&mut self) {
         self.sends.clear();
     }
@@ -293,7 +293,8 @@
 
     /// Returns healthy instances to which shards of the request may be relayed.
     ///
-    /// The request body is sent only to its home regions and to the region that received it.
+    /// If the route has home regions, the request body is sent only there. Outside of them only the
+    /// instance to which the caller connected has it.
     fn healthy_peers(&self) -> Vec<&'a Peer> {
         let mut peers = self.router.healthy_peers(self.view);
         peers.retain(|p| self.router.is_home(&self.route.home_regions, &p.zone));
--- a/crates/router/src/gather/relay.rs
+++ b/crates/router/src/gather/relay.rs
@@ -24,7 +24,9 @@
 ///
 /// At this ratio the round trip and the extra message cost little compared with half of the work.
 const DELEGATE_CAPACITY_FACTOR: u32 = 2;
-/// Minimum remaining time for which relaying can still meet the target, in milliseconds.
+/// Minimum time for gathering a relayed answer within the target, in milliseconds.
+///
+/// With less time left until the target, the answer may take until the deadline.
 const MIN_ANSWER_MS: u64 = 8;
 
 /// Scheduled liveness probe of an instance that gathers relayed shards.
@@ -61,10 +63,11 @@
 impl<'a> Gather<'a> {
     /// Returns the instance that gathers the whole request instead of this one, if cheaper.
     ///
-    /// Splitting a request of 129 shards takes ten relay requests and ten answers to merge. That is
-    /// more than 10 ms on an instance with an eighth of a core, where some answers have a target of
-    /// 50 ms. An instance with half a core needs a quarter of that. Its connections are warm, and
-    /// since a few instances handle all requests of the zone, they know the replicas' queues.
+    /// Splitting a request of 129 shards takes ten relay requests and ten answers to merge. That
+    /// takes more than 10 ms on an instance with an eighth of a core, while some routes have a
+    /// target of 50 ms. An instance with half a core needs a quarter of that. Its connections are
+    /// open and in use, and since a few instances handle all requests of the zone, they know the
+    /// replicas' queues.
     pub(super) fn delegate(&self) -> Option<&'a Peer> {
         let router = self.router;
         let is_small = !self.view.is_gatherer && self.view.is_delegating(&router.zone);
@@ -158,7 +161,7 @@
         assigned
     }
 
-    /// Splits the shards of a delegating zone by the instance that gathers them.
+    /// Groups the shards of a zone with delegating instances by the instance that gathers them.
     ///
     /// The group contains no shards that this instance gathers itself.
     fn split_by_owner(&self, group: &Group<'_>, peers: &[&Peer]) -> Vec<(Peer, Vec<usize>)> {
--- a/crates/router/src/gather/send_permission.rs
+++ b/crates/router/src/gather/send_permission.rs
@@ -2,7 +2,7 @@
 //!
 //! Without this check each shard whose replica has crashed is sent to its other replica at once,
 //! and a request that crashes the replicas that run it takes down both replicas of each shard
-//! within milliseconds. A harmless request that ran at the same time loses as many sends and must
+//! within milliseconds. A request that merely ran at the same time loses as many sends and must
 //! still be answered: it is tried on one replica, and the remaining shards are sent after the first
 //! answer.
 
@@ -19,7 +19,7 @@
 /// Two crashes are sufficient proof, and one trial may be inconclusive, for example on a paused
 /// replica.
 const MAX_TRIALS: usize = 3;
-/// Number of lost sends of an unanswered request from which further sends wait.
+/// Number of replicas that have lost an unanswered request from which further sends wait.
 ///
 /// They wait for some milliseconds until it is known whether the replicas have crashed. A single
 /// loss is common.
--- a/crates/router/src/gather/shard.rs
+++ b/crates/router/src/gather/shard.rs
@@ -30,7 +30,7 @@
     pub(super) tried: Vec<Arc<str>>,
     /// Number of sends that are known not to have run.
     pub(super) not_run: usize,
-    /// Hashes of the replicas that may be used, if the shard is relayed.
+    /// Hashes of the only replicas that may be used, if two instances may send the request.
     pub(super) allowed: Option<Vec<u32>>,
     /// True if the shard was relayed again after the first instance was lost.
     pub(super) was_reassigned: bool,
--- a/crates/router/src/peer_requests.rs
+++ b/crates/router/src/peer_requests.rs
@@ -25,8 +25,8 @@
 
 /// A cached answer: others of the zone are about to request the same.
 ///
-/// Twenty instances fetch the same changes within a second. Packing the answer again for each would
-/// take time on the traffic thread.
+/// Twenty instances fetch the same changes within a second. Compressing the answer again for each
+/// would take time on the traffic thread.
 #[derive(Clone, PartialEq)]
 struct CachedAnswer {
     /// Position after which changes were requested.
--- a/crates/router/src/relay.rs
+++ b/crates/router/src/relay.rs
@@ -41,7 +41,7 @@
         gatherers::owner(service, &all) == Some(0)
     }
 
-    /// Returns the instances that answered recently or have not been used for a while.
+    /// Returns the gatherers that answered recently or have not been used for a while.
     pub(crate) fn healthy_peers<'v>(&self, view: &'v View) -> Vec<&'v Peer> {
         let now_ms = self.shared.now_ms();
         let is_healthy = |p: &&Peer| {
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -136,7 +136,7 @@
 
     fn resolve_route(&self, view: &View, request: &Request) -> Result<Arc<Route>, Refusal> {
         if !view.is_ready() {
-            // Backs off in proportion to the time since the start.
+            // The longer the wait has lasted, the longer it is likely to last.
             let retry_after_ms =
                 (self.shared.now_ms() / 2).clamp(MIN_NOT_READY_RETRY_MS, MAX_NOT_READY_RETRY_MS);
             return Err(Refusal::not_run(RefusalReason::NotReady, Some(retry_after_ms)));
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -38,6 +38,6 @@
     pub regions: Regions,
     /// True if operators evacuate availability zones by entries in the store.
     pub is_evacuation_enabled: bool,
-    /// What cold replicas may receive beyond their rate.
+    /// Tolerance above the rate limit of cold replicas.
     pub cold_tolerance: ColdTolerance,
 }
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -52,7 +52,10 @@
     pub route_table: Arc<RouteTable>,
     /// Replicas that accept new requests, by service.
     pub replicas: Arc<ReplicasByService>,
-    /// True once the replicas, and the evacuations if used, have been read and confirmed.
+    /// True once the replicas, and the evacuations if used, have been read.
+    ///
+    /// A starting instance also waits, for a limited time, until another instance has sent what a
+    /// restored store may lack.
     pub has_confirmed_replicas: bool,
     /// Number of instances that share connections and retries, this one included.
     pub instance_count: u64,
@@ -68,9 +71,9 @@
     pub connection_shares: Vec<(Arc<str>, ConnectionShare)>,
     /// The other instances that gather.
     pub gatherers: Vec<Peer>,
-    /// Zones in which only some instances gather, for the others too.
+    /// Zones in which some instances don't gather but relay to those that do.
     pub delegating_zones: HashSet<Arc<str>>,
-    /// Number of instances among which the retry slack is divided.
+    /// Number of instances by which the retry slack is divided for this one.
     pub retry_slack_divisor: u64,
     /// Time until which each rate-limited replica is cold, in milliseconds.
     pub cold_until_ms: Arc<HashMap<Arc<str>, u64>>,
@@ -81,7 +84,7 @@
 }
 
 impl View {
-    /// True if only some instances of the zone gather, for the others too.
+    /// True if some instances of the zone don't gather but relay to those that do.
     #[must_use]
     pub fn is_delegating(&self, zone: &str) -> bool {
         self.delegating_zones.contains(zone)
@@ -90,8 +93,8 @@
     /// Computes the derived fields for an instance in `own_zone`.
     ///
     /// Done once for each view. When connection shares were computed for each send, they took a
-    /// twentieth of the traffic thread's instructions at 40 shards. Counting all instances for each
-    /// shard would grow with the product of fleet size and shards.
+    /// twentieth of the traffic thread's instructions at 40 shards. The cost of counting all
+    /// instances for each shard would grow with the product of fleet size and shards.
     #[must_use]
     pub fn with_derived_fields(mut self, own_zone: &str) -> Self {
         self.gatherers = self.peers.iter().filter(|p| p.is_gatherer).cloned().collect();
@@ -142,8 +145,8 @@
     ///
     /// Instances that don't gather send few requests directly, such as those of routes to a single
     /// replica: each sends one in 10 s. When they kept these connections, the idle ones exceeded a
-    /// replica's limit: 195 where it accepts 120. The replica reset 1,195 connections in the seconds
-    /// after a power loss, when connections of the lost instances still counted.
+    /// replica's limit: 195 where it accepts 120. The replica reset 1,195 connections in the
+    /// seconds after a power loss, when connections of the lost instances still counted.
     #[must_use]
     pub fn uses_keep_alive(&self) -> bool {
         self.is_gatherer
--- a/crates/router/tests/sends.rs
+++ b/crates/router/tests/sends.rs
@@ -117,8 +117,9 @@
 
 /// A replica whose address now belongs to another one must not be used again. Addresses of crashed
 /// replicas were reused by another service while their entries stayed listed during a store outage.
-/// Treating each response as a transient failure led to 300 extra sends where the budget allowed
-/// 270, although each instance kept to its share.
+/// The answer of the other replica counted as a transient failure, so that each retry reached a
+/// replica of the other service: it received 300 extra sends where the budget allowed 270, although
+/// each instance kept to its share.
 #[test]
 fn a_replaced_replica_is_not_used_again() {
     in_virtual_time(async {
